--- a/src/policy/call_queue.hpp
+++ b/src/policy/call_queue.hpp
@@ -1,3 +1,4 @@
+// The calls of one sender, and the queue of those that wait for a server.
 #pragma once
 
 #include <unordered_map>
@@ -6,94 +7,105 @@
 
 namespace amberknot::policy {
 
-/// A call from its arrival to its final answer, or to its end if it is established.
+/// A call from its arrival to its final answer or, if it is established, to its end.
 struct Call {
-  static constexpr double kObjectiveMargin = 0.1;  // share kept in hand for the set-up's own variation
+  // Share of the objective kept for the variation of set-up times
+  static constexpr double kSetUpTimeMarginShare = 0.1;
 
-  NewCall facts;
-  std::shared_ptr<const CallClass> cls;  // as it was when the call came
+  NewCall request;
+  std::shared_ptr<const CallClass> class_settings;  // as configured when the call arrived
   Instant arrived{};
-  Instant reject_after{};      // queued no longer than this
-  Instant late_from{};         // set-ups that begin later would be established after the objective
-  double priority_weight = 0;  // of being established now
-  bool late = false;
-  Instant not_before{};  // the pause before a retry ends
+  Instant reject_after{};      // end of its time in the queue
+  Instant late_after{};        // a set-up sent after this would miss the latency objective
+  double priority_weight = 0;  // current weight; lower once the call is late
+  bool is_late = false;
+  Instant not_before{};  // end of the pause before a retry
   std::uint32_t attempts = 0;
-  std::optional<ServerId> server;  // where the attempt is in flight, or the call established
+  std::optional<ServerId> server;  // the server of the attempt in flight or of the established call
   Instant sent{};
-  bool cancelling = false;
-  bool established = false;
+  bool is_cancelling = false;
+  bool is_established = false;
   bool may_have_run = false;
 
   Call(const NewCall& call, std::shared_ptr<const CallClass> call_class, Instant now, Duration batch_interval)
-      : facts(call), cls(std::move(call_class)), arrived(now), not_before(now) {
-    reject_after = facts.expires - 2 * batch_interval;
-    // A marked redial belongs to a first attempt whose objective has most likely gone by.
-    const bool is_repeated = facts.is_redial && !facts.was_aborted;
-    late_from = is_repeated ? now : now + scaled(cls->latency_objective, 1.0 - kObjectiveMargin);
-    late = now >= late_from;
-    priority_weight = late ? cls->priority_weight * cls->late_weight_fraction : cls->priority_weight;
+      : request(call), class_settings(std::move(call_class)), arrived(now), not_before(now) {
+    reject_after = request.expires - 2 * batch_interval;
+    // A call marked as a redial follows an earlier call whose latency objective has most likely passed.
+    const bool is_repeated = request.is_redial && !request.was_aborted;
+    late_after =
+        is_repeated ? now : now + scaled(class_settings->latency_objective, 1.0 - kSetUpTimeMarginShare);
+    is_late = now >= late_after;
+    priority_weight = is_late ? class_settings->priority_weight * class_settings->late_weight_fraction
+                              : class_settings->priority_weight;
   }
-  // The caller must not hang up first: callers of little patience would leave abandoned work behind.
+  /// Latest time of establishment that is still of use. It is no later than the expiry, because a caller who
+  /// hangs up first leaves abandoned work at the server. All late calls return the same time.
   [[nodiscard]] Instant establish_by() const {
-    return late ? Instant{} : std::min(arrived + cls->latency_objective, facts.expires);  // late: all alike
+    return is_late ? Instant{} : std::min(arrived + class_settings->latency_objective, request.expires);
   }
-  [[nodiscard]] bool is_attempt(ServerId at, std::uint32_t attempt) const {
+  /// `attempt` is counted from zero.
+  [[nodiscard]] bool is_current_attempt(ServerId at, std::uint32_t attempt) const {
     return server == at && attempts == attempt + 1;
   }
 };
 
-/// The calls of one sender, and those that wait for a server: by weight, then newest first. When not all can
-/// be placed, the oldest would be established just late.
+/// The calls of one sender, and a queue of those that wait for a server: by weight, then newest first. When
+/// not all can be placed, serving the oldest first would establish each of them just after its objective.
 class CallQueue {
  public:
   explicit CallQueue(Context& context) : context_(context) {}
 
   [[nodiscard]] Call* find(CallId id) { return calls_.contains(id) ? &calls_.at(id) : nullptr; }
-  void add(const Call& call) { calls_.emplace(call.facts.call, call); }
+  void add(const Call& call) { calls_.emplace(call.request.call, call); }
   void erase(CallId id) { calls_.erase(id); }
   void enqueue(CallId id) { queue_.insert(queue_key(id)); }
   void dequeue(CallId id) { queue_.erase(queue_key(id)); }
   [[nodiscard]] bool is_empty() const { return queue_.empty(); }
-  // The visitor may take the call out of the queue or move it there.
+  /// The visitor may remove the current call from the queue or change its position.
   void for_each_queued(auto visit) {
     for (auto next = queue_.begin(); next != queue_.end();) visit(std::get<CallId>(*next++));
   }
 
-  // Departure: a call past its objective stays queued while its caller waits, behind all that can be in time.
-  // Rejected, it would be redialled at once and pass for a fresh call where redials are not marked.
+  /// Lowers the weight of the queued calls that have become late.
+  /// Departure: a call past its latency objective is not rejected. It stays queued while its caller waits,
+  /// behind all calls that can be in time. If it were rejected, the caller would redial at once, and where
+  /// redials are not marked the redial would count as a new call.
   void mark_late() {
     for_each_queued([this](CallId id) {
       auto& call = calls_.at(id);
-      if (call.late || context_.now < call.late_from) return;
+      if (call.is_late || context_.now < call.late_after) return;
       dequeue(id);
-      call.late = true;
-      call.priority_weight *= call.cls->late_weight_fraction;
+      call.is_late = true;
+      call.priority_weight *= call.class_settings->late_weight_fraction;
       enqueue(id);
     });
   }
 
   void cancel(CallId id) {
     auto* call = find(id);
-    if (call == nullptr || !call->server || call->established || call->cancelling) return;
+    if (call == nullptr || !call->server || call->is_established || call->is_cancelling) return;
     if (!context_.settings.limits.cancel) return;
-    call->cancelling = true;
-    context_.act(CancelAttempt{id, call->attempts - 1});
+    call->is_cancelling = true;
+    context_.emit(CancelAttempt{id, call->attempts - 1});
   }
 
-  // Departure: a set-up older than one established since was lost, on a lossy link or by a restart, and would
-  // hold its token until its caller leaves. Departure: one that can no longer be in time must not feed an
-  // overload while others wait in time. Of no use where a processor works on what was abandoned.
+  /// Cancels the server's oldest set-up if it is lost or overdue.
+  /// Departure: a set-up is lost, by the link or a restart, if it is out for longer than the silence timeout
+  /// and a later one has been established; it would hold its token until its caller hangs up.
+  /// Departure: a set-up past its latency objective is cancelled while calls that can be in time are queued,
+  /// so that it does not add to an overload. This does not help where a processor goes on working on
+  /// abandoned set-ups.
   void cancel_overdue(const Server& server) {
     if (server.in_flight.empty()) return;
     const auto [sent, id] = *server.in_flight.begin();
     const auto* call = find(id);
     const bool is_lost =
         sent < server.last_established_sent && context_.now - sent > context_.silence_timeout();
-    const bool has_queued_in_time = !queue_.empty() && !calls_.at(std::get<CallId>(*queue_.begin())).late;
-    const bool is_overdue =
-        call != nullptr && !call->late && context_.now - call->arrived > call->cls->latency_objective;
-    if (is_lost || (is_overdue && has_queued_in_time)) cancel(id);
+    const bool has_queued_call_in_time =
+        !queue_.empty() && !calls_.at(std::get<CallId>(*queue_.begin())).is_late;
+    const bool is_overdue = call != nullptr && !call->is_late &&
+                            context_.now - call->arrived > call->class_settings->latency_objective;
+    if (is_lost || (is_overdue && has_queued_call_in_time)) cancel(id);
   }
 
  private:
@@ -104,7 +116,7 @@
   }
 
   Context& context_;
-  std::unordered_map<CallId, Call> calls_;  // found by id only: its order would not be the same everywhere
+  std::unordered_map<CallId, Call> calls_;  // never iterated: the order depends on the platform
   std::set<QueueKey> queue_;
 };
 
--- a/src/policy/delay_estimate.hpp
+++ b/src/policy/delay_estimate.hpp
@@ -1,78 +1,91 @@
+// Estimates the set-up delay of each server from set-up times and load reports.
 #pragma once
 
 #include "policy/context.hpp"
 
 namespace amberknot::policy {
 
-/// Set-up delay to expect at each server: the calm delay and the excess above it, that is the queue.
+/// Expected set-up delay of each server: its base delay, without load, plus the queue delay on top of it.
+/// Constants named ...Budgets are in response budgets.
 class DelayEstimate {
  public:
-  static constexpr double kCalm = 0.5;         // up to this share of the response budget: the rest varies
-  static constexpr double kTargetQueue = 0.3;  // share to keep at an overloaded server: it never idles
-  static constexpr double kOverloadQueue = kTargetQueue * kCalm;  // a longer queue is a sign of overload
+  // A shorter delay counts as unloaded; the rest of the budget is left for variation
+  static constexpr double kUnloadedDelayBudgets = 0.5;
+  static constexpr double kTargetQueueBudgets = 0.3;  // kept at an overloaded server so that it never idles
+  // A longer queue means overload
+  static constexpr double kOverloadQueueBudgets = kTargetQueueBudgets * kUnloadedDelayBudgets;
 
   explicit DelayEstimate(Context& context) : context_(context) {}
 
-  // A worse reading counts whole, a better one in part: the draw's weight recovers slowly.
-  void update_excess(Server& server, Duration reading) const {
-    const Duration decayed = own_excess(server);
+  /// A longer delay is taken over at once, a shorter one only in part, so that the server's weight in the
+  /// random choice recovers slowly.
+  void update_queue_delay(Server& server, Duration reading) const {
+    const Duration decayed = own_queue_delay(server);
     const double gain = std::max(kRecoveryGain, 1.0 - freshness(server));
-    server.excess = reading >= decayed ? reading : decayed + scaled(reading - decayed, gain);
-    server.excess_updated = context_.now;
-    if (reading > context_.budget(kOverloadQueue)) context_.note_overload();
+    server.queue_delay = reading >= decayed ? reading : decayed + scaled(reading - decayed, gain);
+    server.queue_delay_updated = context_.now;
+    if (reading > context_.response_budget_share(kOverloadQueueBudgets)) context_.mark_overloaded();
   }
 
-  // A server without a set-up yet is no quicker than the mean one: all senders would choose it at once.
-  [[nodiscard]] Duration calm_delay(const Server& server) {
+  /// A server without an established set-up gets the mean of the others: with a shorter one, all senders
+  /// would choose it at once.
+  [[nodiscard]] Duration base_delay(const Server& server) {
     update_means();
-    return server.calm_delay > Duration::zero() ? server.calm_delay : mean_calm_;
+    return server.base_delay > Duration::zero() ? server.base_delay : mean_base_delay_;
   }
 
-  // A queue cannot drain faster than the clock runs, and the memory of one decays slowly.
-  [[nodiscard]] Duration own_excess(const Server& server) const {
-    const Duration age = context_.now - server.excess_updated;
-    const double left = decay(age, Context::kExcessDecayBudgets * seconds(context_.response_budget));
-    return std::max(server.excess - age, scaled(server.excess, left));
+  /// Queue delay from this server's own reports. It falls by no more than the time that has passed, as a
+  /// queue cannot drain faster; the last report also decays exponentially, and the larger value counts.
+  [[nodiscard]] Duration own_queue_delay(const Server& server) const {
+    const Duration age = context_.now - server.queue_delay_updated;
+    const double remaining_share =
+        decay(age, Context::kQueueDecayBudgets * seconds(context_.response_budget));
+    return std::max(server.queue_delay - age, scaled(server.queue_delay, remaining_share));
   }
 
-  // What was last reported, no better than the others' mean if that is long ago, and no less than our oldest
-  // set-up has waited already. One that a later set-up has overtaken does not count: it was lost.
+  /// Expected set-up delay. An old report below the mean of the available servers moves towards that mean.
+  /// The result is no less than the waiting time of our oldest set-up in flight; set-ups older than one
+  /// established since do not count, as they were lost.
   [[nodiscard]] Duration delay(const Server& server) {
-    Duration expected = calm_delay(server);
-    const Duration own = own_excess(server);
-    expected += own < mean_excess_ ? own + scaled(mean_excess_ - own, 1.0 - freshness(server)) : own;
+    Duration expected = base_delay(server);
+    const Duration own_delay = own_queue_delay(server);
+    expected += own_delay < mean_queue_delay_
+                    ? own_delay + scaled(mean_queue_delay_ - own_delay, 1.0 - freshness(server))
+                    : own_delay;
     const auto oldest = server.in_flight.upper_bound({server.last_established_sent, CallId{UINT32_MAX}});
     return oldest == server.in_flight.end() ? expected : std::max(expected, context_.now - oldest->first);
   }
 
  private:
-  static constexpr double kFreshBudgets = 5.0;  // time constant of a report, in response budgets
-  static constexpr double kRecoveryGain = 0.4;  // part of a better reading (design: recovers slowly)
+  static constexpr double kReportDecayBudgets = 5.0;  // time constant of a report's weight
+  // Least weight of a shorter delay; the design asks for a slow recovery
+  static constexpr double kRecoveryGain = 0.4;
 
   [[nodiscard]] double freshness(const Server& server) const {
-    return decay(context_.now - server.excess_updated, kFreshBudgets * seconds(context_.response_budget));
+    return decay(context_.now - server.queue_delay_updated,
+                 kReportDecayBudgets * seconds(context_.response_budget));
   }
 
   void update_means() {
     if (std::exchange(means_updated_, context_.now) == context_.now) return;
-    double sum = 0;
-    double weights = 1e-9;
-    Duration calm{};
-    int known = 0;
-    for (const auto& [id, one] : context_.servers) {
-      if (!one.is_available()) continue;
-      weights += freshness(one);
-      sum += freshness(one) * seconds(own_excess(one));
-      calm += one.calm_delay;
-      known += one.calm_delay > Duration::zero() ? 1 : 0;
+    double weighted_sum = 0;
+    double weight_sum = 1e-9;
+    Duration base_delay_sum{};
+    int known_count = 0;
+    for (const auto& [id, server] : context_.servers) {
+      if (!server.is_available()) continue;
+      weight_sum += freshness(server);
+      weighted_sum += freshness(server) * seconds(own_queue_delay(server));
+      base_delay_sum += server.base_delay;
+      known_count += server.base_delay > Duration::zero() ? 1 : 0;
     }
-    mean_excess_ = scaled(Duration{std::chrono::seconds{1}}, sum / weights);
-    mean_calm_ = calm / std::max(known, 1);
+    mean_queue_delay_ = scaled(Duration{std::chrono::seconds{1}}, weighted_sum / weight_sum);
+    mean_base_delay_ = base_delay_sum / std::max(known_count, 1);
   }
 
   Context& context_;
-  Duration mean_excess_{};  // weighted by freshness
-  Duration mean_calm_{};
+  Duration mean_queue_delay_{};  // of the available servers, weighted by freshness
+  Duration mean_base_delay_{};
   Instant means_updated_{};
 };
 
--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -1,3 +1,4 @@
+// Applies endpoint updates, attempt results and health checks to the state of the servers.
 #pragma once
 
 #include "policy/outlier_ejection.hpp"
@@ -5,7 +6,7 @@
 
 namespace amberknot::policy {
 
-/// The servers as this sender sees them: reads endpoint updates and load reports into the parts above.
+/// The servers as this sender knows them, with their delay estimates, tokens, slow starts and ejections.
 class Fleet {
   Context& context_;
 
@@ -28,14 +29,14 @@
       server.pool = entry.pool;
       server.version = entry.version;
       set_state(server, entry.state);
-      // A fresh start time means a slow start, whether or not the server's stop was ever listed.
+      // A later start time begins a slow start, even if no update has shown the server as removed.
       if (server.slow_start_began < entry.started) {
         slow_start.begin(server, *entry.started);
-        server.suspected = false;
+        server.is_suspected = false;
         server.last_response = context_.now;
       }
     }
-    // Ids of servers are always new: without this the table would grow all day.
+    // New servers have new ids: without this cleanup the table would grow without bound.
     std::erase_if(context_.servers, [this](const auto& item) {
       const auto& server = item.second;
       return server.state == EndpointState::kRemoved && server.in_flight.empty() &&
@@ -45,53 +46,57 @@
 
   void on_established(Server& server, Duration elapsed) {
     on_response(server, {});
-    if (server.calm_delay == Duration::zero() || elapsed < server.calm_delay) server.calm_delay = elapsed;
-    learn_excess(server, elapsed - server.calm_delay);
+    if (server.base_delay == Duration::zero() || elapsed < server.base_delay) server.base_delay = elapsed;
+    learn_queue_delay(server, elapsed - server.base_delay);
     ejection.on_established(server);
-    slow_start.on_established(server, delays.delay(server) < context_.budget(DelayEstimate::kCalm));
+    slow_start.on_established(
+        server, delays.delay(server) < context_.response_budget_share(DelayEstimate::kUnloadedDelayBudgets));
   }
 
   void on_ended(Server& server, const AttemptEnded& ended) {
     const Outcome outcome = ended.outcome;
     if (outcome == Outcome::kReset) return;
-    if (outcome == Outcome::kConnectFailed) return ejection.suspect(server, "no connection");
+    if (outcome == Outcome::kConnectFailed) return ejection.suspect(server, "the connection failed");
     if (outcome == Outcome::kOk || outcome == Outcome::kError || outcome == Outcome::kFull) {
       on_response(server, ended.report);
       if (outcome == Outcome::kFull) ejection.eject(server, ended.retry_after);
       if (outcome == Outcome::kError && !ended.is_caller_fault) ejection.on_error(server);
     } else {
       server.capacity.update(ended.report);
-      if (ended.report.wait) learn_excess(server, *ended.report.wait);
+      if (ended.report.wait) learn_queue_delay(server, *ended.report.wait);
     }
   }
 
   void on_health_check(Server& server, const HealthCheckResult& result) {
     if (result.is_unsolicited) return server.capacity.update(result.report);
     if (result.outcome == Outcome::kOk) return on_response(server, result.report);
-    // A late check shows an overload or a hang, but the set-ups in flight may still be established.
+    // A health check that timed out means an overloaded or hung server, but set-ups in flight may still be
+    // established: the server is not suspected.
     if (result.outcome == Outcome::kTimeout) return ejection.eject(server, std::nullopt);
-    const bool is_full = result.outcome == Outcome::kFull;  // it lives: all senders check it at once
+    const bool is_full = result.outcome == Outcome::kFull;  // it answered: all senders may check it at once
     if (is_full) server.last_response = context_.now;
-    if (!is_full && server.is_ready()) ejection.suspect(server, "probe not connected");
+    if (!is_full && server.is_ready()) ejection.suspect(server, "the health check failed");
   }
 
  private:
-  static constexpr Duration kRemovedRetention = std::chrono::seconds{60};  // may come back under the same id
+  // The server may return under the same id
+  static constexpr Duration kRemovedRetention = std::chrono::seconds{60};
 
   void set_state(Server& server, EndpointState state) const {
-    if (server.state != EndpointState::kRemoved) server.removed_at = context_.now;  // if it is removed now
+    if (server.state != EndpointState::kRemoved)
+      server.removed_at = context_.now;  // only read for removed servers
     server.state = state;
   }
 
   void on_response(Server& server, const LoadReport& report) {
-    if (report.wait) learn_excess(server, *report.wait);
+    if (report.wait) learn_queue_delay(server, *report.wait);
     server.capacity.update(report);
     ejection.on_response(server);
   }
 
-  // Tokens are withheld at the report, not at the next call.
-  void learn_excess(Server& server, Duration reading) {
-    delays.update_excess(server, reading);
+  // Updates the tokens at once, so that the traffic share follows each report and not only the next call.
+  void learn_queue_delay(Server& server, Duration reading) {
+    delays.update_queue_delay(server, reading);
     tokens.update_tokens(server);
   }
 };
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -1,3 +1,4 @@
+// Outlier ejection and failure detection of servers.
 #pragma once
 
 #include "policy/call_queue.hpp"
@@ -5,63 +6,70 @@
 
 namespace amberknot::policy {
 
-/// Takes servers out of the choice: for a pause when they are full or faulty, until they answer when silent.
+/// Excludes servers from the choice: full or faulty ones for a pause, silent or unreachable ones (suspected)
+/// until they respond or, without health checks, until no set-up is in flight there. Constants named
+/// ...Budgets are in response budgets.
 class OutlierEjection {
  public:
   OutlierEjection(Context& context, CallQueue& calls, SlowStart& slow_start)
       : context_(context), calls_(calls), slow_start_(slow_start) {}
 
-  // Departure: a full processor turns away at a cost in work, and a faulty one answers at once with errors;
-  // either would draw most calls by its speed. It is ejected for a pause that doubles, and then has one
-  // token; each call established halves the pause again. One error alone may be the caller's fault.
+  /// Ejects the server, for `retry_after` if that is longer than the pause.
+  /// Departure: a full or faulty server is ejected for a pause that doubles each time, then gets one set-up
+  /// at a time; each established call halves the pause. A full processor spends work on each rejection, and a
+  /// faulty one answers with errors at once: its short delay would attract most calls. A single error does
+  /// not eject, as the caller may be at fault.
   void eject(Server& server, std::optional<Duration> retry_after) const {
-    context_.note_overload();
+    context_.mark_overloaded();
     if (context_.now < server.ejected_until) return;
-    const Duration pause = scaled(context_.response_budget, server.ejection_budgets);
+    const Duration pause = scaled(context_.response_budget, server.ejection_pause_budgets);
     server.ejected_until = context_.now + std::max(pause, retry_after.value_or(Duration::zero()));
-    server.ejection_budgets = std::min(2.0 * server.ejection_budgets, kMaxEjectionBudgets);
+    server.ejection_pause_budgets = std::min(2.0 * server.ejection_pause_budgets, kMaxEjectionPauseBudgets);
   }
   void on_error(Server& server) const {
     if (++server.consecutive_errors >= kMaxConsecutiveErrors) eject(server, std::nullopt);
   }
   static void on_established(Server& server) {
-    server.ejection_budgets = std::max(Server::kMinEjectionBudgets, server.ejection_budgets / 2.0);
+    server.ejection_pause_budgets =
+        std::max(Server::kMinEjectionPauseBudgets, server.ejection_pause_budgets / 2.0);
     server.consecutive_errors = 0;
   }
-  // After an ejection, one set-up at a time until enough have been established.
+  /// After an ejection, allows one set-up at a time until enough have been established.
   [[nodiscard]] bool may_send(const Server& server) const {
-    const bool is_on_trial = server.ejection_budgets > Server::kMinEjectionBudgets;
-    return context_.now >= server.ejected_until && !(is_on_trial && !server.in_flight.empty());
+    const bool is_on_probation = server.ejection_pause_budgets > Server::kMinEjectionPauseBudgets;
+    return context_.now >= server.ejected_until && !(is_on_probation && !server.in_flight.empty());
   }
 
-  void suspect(Server& server, const char* why) const {
-    if (server.suspected) return;
-    server.suspected = true;
+  void suspect(Server& server, const char* reason) const {
+    if (server.is_suspected) return;
+    server.is_suspected = true;
     server.suspected_since = context_.now;
-    context_.note_overload();
+    context_.mark_overloaded();
     server.next_check = context_.now;
-    context_.log(std::string("suspect: ") + why);
+    context_.log(std::string("server suspected; it receives no new calls until it is cleared: ") + reason);
     for (const auto& [sent, id] : server.in_flight) calls_.cancel(id);
   }
   void on_response(Server& server) const {
     server.last_response = context_.now;
-    if (server.suspected) clear_suspicion(server);
+    if (server.is_suspected) clear_suspicion(server);
   }
 
-  // True while there is something to watch the server for.
+  /// Returns true while the server needs further checks.
   [[nodiscard]] bool check(Server& server) const {
-    const bool is_watched = !server.in_flight.empty() || (server.suspected && server.is_ready());
+    const bool needs_checks = !server.in_flight.empty() || (server.is_suspected && server.is_ready());
     if (is_stalled(server) && !context_.settings.limits.probes) suspect(server, "silent");
-    if (is_stalled(server)) check_health(server);  // a long queue is silent too: the health check decides
+    if (is_stalled(server)) check_health(server);  // a long queue looks the same: the health check decides
     calls_.cancel_overdue(server);
-    if (server.suspected && server.is_ready()) check_health(server);
-    return is_watched;
+    if (server.is_suspected && server.is_ready()) check_health(server);
+    return needs_checks;
   }
 
  private:
-  static constexpr double kMaxEjectionBudgets = 4.0;  // a server that recovers is not left unused for longer
-  static constexpr int kMaxConsecutiveErrors = 3;  // so many show that the server is at fault, not the calls
-  static constexpr double kCheckIntervalShare = 0.5;  // of the least objective: one lost check costs little
+  // Longest pause: a server that has recovered is not left unused for longer
+  static constexpr double kMaxEjectionPauseBudgets = 4.0;
+  static constexpr int kMaxConsecutiveErrors = 3;  // in a row: the server is at fault, not the callers
+  // Of the least latency objective, between checks: losing one costs little time
+  static constexpr double kHealthCheckObjectiveShare = 0.5;
 
   [[nodiscard]] bool is_stalled(const Server& server) const {
     if (server.in_flight.empty() || !server.is_available()) return false;
@@ -70,16 +78,17 @@
   }
   void check_health(Server& server) const {
     if (context_.now < server.next_check) return;
-    server.next_check = context_.now + scaled(context_.min_latency_objective, kCheckIntervalShare);
-    if (context_.settings.limits.probes) return context_.act(CheckHealth{server.id});
+    server.next_check = context_.now + scaled(context_.min_latency_objective, kHealthCheckObjectiveShare);
+    if (context_.settings.limits.probes) return context_.emit(CheckHealth{server.id});
     if (server.in_flight.empty()) clear_suspicion(server);
   }
-  // Departure: a server silent for long may have restarted unlisted; it has a slow start.
+  // Departure: a server suspected for longer than the least latency objective gets a slow start, as it may
+  // have restarted without an endpoint update.
   void clear_suspicion(Server& server) const {
-    server.suspected = false;
-    context_.log("suspect answers again");
-    const bool was_long = context_.now - server.suspected_since > context_.min_latency_objective;
-    if (was_long) slow_start_.begin(server, context_.now);
+    server.is_suspected = false;
+    context_.log("suspected server cleared; it receives calls again");
+    const bool was_suspected_long = context_.now - server.suspected_since > context_.min_latency_objective;
+    if (was_suspected_long) slow_start_.begin(server, context_.now);
   }
 
   Context& context_;
--- a/src/policy/server.hpp
+++ b/src/policy/server.hpp
@@ -1,3 +1,4 @@
+// What a sender knows of one server.
 #pragma once
 
 #include <algorithm>
@@ -8,29 +9,32 @@
 
 namespace amberknot::policy {
 
-/// Calls that a server carries, by its load reports.
+/// Lines of a server, and how many are in use, by its load reports.
 struct Capacity {
-  static constexpr double kMinUsedLines = 0.2;  // counted for the size of one that has few calls yet
+  static constexpr double kMinUsedLinesShare = 0.2;  // counted in size() for a server with few calls so far
   std::optional<double> free_lines;
   std::optional<double> lines;
-  double max_used = 0;               // calls of all senders, since its start
-  double max_used_before_start = 0;  // the same, before its latest start
+  double max_used = 0;               // most lines in use by all senders since its start
+  double max_used_before_start = 0;  // the same before its latest start
 
   void update(const LoadReport& report) {
     if (report.free_lines) free_lines = *report.free_lines;
     if (report.lines) lines = *report.lines;
     if (free_lines && lines) max_used = std::max(max_used, *lines - *free_lines);
   }
-  // What all senders have established tells its size; a fresh start has nothing yet. Zero: not known.
+  /// Size by the lines that all senders use, with a minimum for a server that has just started. Returns zero
+  /// if it is not known.
   [[nodiscard]] double size() const {
-    return free_lines && lines ? std::max(*lines - *free_lines, kMinUsedLines * *lines) : 0;
+    return free_lines && lines ? std::max(*lines - *free_lines, kMinUsedLinesShare * *lines) : 0;
   }
 };
 
-/// What this sender knows of one server. Each group of fields is kept by the part named beside it.
+/// What this sender knows of one server. Each group of fields is maintained by the class named beside it.
 struct Server {
-  static constexpr double kMaxTrafficShare = 1.5;  // of an equal part of our calls, until its delay is known
-  static constexpr double kMinEjectionBudgets = 0.5;  // first pause, in response budgets: a queue drains
+  // Multiple of an equal share of our calls; used until its delay is known
+  static constexpr double kMaxTrafficShare = 1.5;
+  // First pause, in response budgets: time for a queue to drain
+  static constexpr double kMinEjectionPauseBudgets = 0.5;
 
   ServerId id{};  // Fleet
   PoolId pool{};
@@ -39,26 +43,27 @@
   ProtocolVersion version{};
   Instant last_response{};
   Capacity capacity;
-  Duration calm_delay{};  // DelayEstimate: least set-up delay seen; zero before the first
-  Duration excess{};      // delay above calm when last reported
-  Instant excess_updated{};
-  std::set<std::pair<Instant, CallId>> in_flight;  // TokenBuckets: one token for each set-up in progress
+  Duration base_delay{};   // DelayEstimate: least set-up delay seen; zero if none yet
+  Duration queue_delay{};  // delay above the base delay at the last report
+  Instant queue_delay_updated{};
+  std::set<std::pair<Instant, CallId>> in_flight;  // TokenBuckets: send time and call; each holds a token
   Instant last_send{};
-  Instant last_established_sent{};          // when the latest set-up that was established was sent
-  double traffic_share = kMaxTrafficShare;  // of an equal part of our calls, at the target delay
+  Instant last_established_sent{};  // send time of the latest set-up that was established
+  // Share of our calls at the target delay, in multiples of an equal share
+  double traffic_share = kMaxTrafficShare;
   Instant traffic_share_updated{};
-  Instant ejected_until{};                        // OutlierEjection
-  double ejection_budgets = kMinEjectionBudgets;  // the next pause
+  Instant ejected_until{};                                   // OutlierEjection
+  double ejection_pause_budgets = kMinEjectionPauseBudgets;  // next pause, in response budgets
   int consecutive_errors = 0;
-  bool suspected = false;
+  bool is_suspected = false;
   Instant suspected_since{};
   Instant next_check{};
   std::optional<Instant> slow_start_began;  // SlowStart
   Instant slow_start_next_send{};
-  double slow_start_rate = 1.0;  // factor earned by its own calm answers
+  double slow_start_rate_factor = 1.0;  // raised by set-ups with a short delay
 
   [[nodiscard]] bool is_ready() const { return state == EndpointState::kReady; }
-  [[nodiscard]] bool is_available() const { return is_ready() && !suspected; }
+  [[nodiscard]] bool is_available() const { return is_ready() && !is_suspected; }
 };
 
 }  // namespace amberknot::policy
--- a/src/policy/server_choice.hpp
+++ b/src/policy/server_choice.hpp
@@ -1,10 +1,12 @@
+// Chooses the server for each call.
 #pragma once
 
 #include "policy/fleet.hpp"
 
 namespace amberknot::policy {
 
-/// Chooses the server for a call: its first choice while that has capacity, otherwise a weighted draw.
+/// Chooses the server for a call: one of its destination pool if that has capacity, otherwise a random server
+/// with a weight that falls with its delay.
 class ServerChoice {
  public:
   ServerChoice(Context& context, Fleet& fleet) : context_(context), fleet_(fleet) {}
@@ -14,44 +16,49 @@
   [[nodiscard]] bool is_eligible(const Server& server, const Call& call) const {
     if (!server.is_ready() || !supports(server, call)) return false;
     if (context_.settings.own_pool && server.pool == *context_.settings.own_pool) return false;
-    if (call.facts.is_in_transit) return server.pool == call.facts.destination;
-    const auto& pools = call.cls->pools;
+    if (call.request.is_in_transit) return server.pool == call.request.destination;
+    const auto& pools = call.class_settings->pools;
     return pools.empty() || std::find(pools.begin(), pools.end(), server.pool) != pools.end();
   }
 
-  // Departure: no server there is supports what the call needs. Queueing it would not change that.
+  // Departure: a call that no listed server supports, by its protocol version, is answered at once. Waiting
+  // in the queue would not help.
   [[nodiscard]] bool is_unroutable(const Call& call) const {
-    const auto excluded = call.facts.excluded_versions;
+    const auto excluded = call.request.excluded_versions;
     if (excluded == 0 || excluded == kAllVersions) return excluded != 0;
     const auto is_listed = [](const auto& server) { return server.state != EndpointState::kRemoved; };
     const auto can_serve = [&](const auto& server) { return is_listed(server) && supports(server, call); };
     return context_.count_servers(is_listed) > 0 && context_.count_servers(can_serve) == 0;
   }
 
-  // In one pass over the queue capacity only shrinks: where there was none for one call there is none for its
-  // like that has no more time. Between passes it may grow, also at one instant: an arrival raises the rate.
-  void begin_pass() { rejected_until_.clear(); }
+  /// Starts a pass over the queue. During a pass capacity only falls: if a call finds no server, a call of
+  /// the same kind with no more time left finds none either. Between passes it may rise even at the same
+  /// instant, as an arrival raises the arrival rate.
+  void begin_pass() { no_capacity_until_.clear(); }
 
+  /// Returns null if no eligible server has capacity.
   [[nodiscard]] Server* choose(const Call& call) {
-    const auto destination = call.facts.is_in_transit ? std::optional(call.facts.destination) : std::nullopt;
-    const auto [rejected, is_first] = rejected_until_.try_emplace(
-        Kind{call.cls.get(), call.late, call.facts.excluded_versions, call.facts.width, destination},
+    const auto destination =
+        call.request.is_in_transit ? std::optional(call.request.destination) : std::nullopt;
+    const auto [entry, is_new_entry] = no_capacity_until_.try_emplace(
+        CallKind{call.class_settings.get(), call.is_late, call.request.excluded_versions, call.request.width,
+                 destination},
         Instant::min());
-    if (!is_first && call.establish_by() <= rejected->second) return nullptr;
+    if (!is_new_entry && call.establish_by() <= entry->second) return nullptr;
     std::vector<std::pair<Server*, double>> candidates;
-    double total = 0;
+    double total_weight = 0;
     for (auto& [id, server] : context_.servers) {
       if (!has_capacity(server, call)) continue;
-      if (server.pool == call.facts.destination) return &server;
-      const double weight = std::pow(std::max(seconds(fleet_.delays.delay(server)), 1e-3), -kDelayPower);
-      total += weight;
+      if (server.pool == call.request.destination) return &server;
+      const double weight = std::pow(std::max(seconds(fleet_.delays.delay(server)), 1e-3), -kDelayExponent);
+      total_weight += weight;
       candidates.emplace_back(&server, weight);
     }
     if (candidates.empty()) {
-      rejected->second = call.establish_by();
+      entry->second = call.establish_by();
       return nullptr;
     }
-    double remaining = context_.random_up_to(total);
+    double remaining = context_.random_up_to(total_weight);
     for (const auto& [server, weight] : candidates) {
       if ((remaining -= weight) <= 0) return server;
     }
@@ -59,31 +66,32 @@
   }
 
  private:
-  static constexpr double kDelayPower = 2.0;  // of the draw's weights: half the delay, four times the calls
-  static constexpr double kLateTokens = 1.0;  // free before a late call takes one
+  static constexpr double kDelayExponent = 2.0;             // half the delay gives four times the weight
+  static constexpr double kMinFreeTokensForLateCall = 1.0;  // must be free before a late call takes one
 
   [[nodiscard]] static bool supports(const Server& server, const Call& call) {
-    return (call.facts.excluded_versions >> static_cast<unsigned>(server.version) & 1U) == 0;
+    return (call.request.excluded_versions >> static_cast<unsigned>(server.version) & 1U) == 0;
   }
 
   [[nodiscard]] bool has_capacity(Server& server, const Call& call) {
     ++evaluations_;
-    if (!is_eligible(server, call) || server.suspected) return false;
-    if (server.capacity.free_lines && *server.capacity.free_lines < call.facts.width) return false;
+    if (!is_eligible(server, call) || server.is_suspected) return false;
+    if (server.capacity.free_lines && *server.capacity.free_lines < call.request.width) return false;
     if (!fleet_.ejection.may_send(server) || !fleet_.tokens.has_token(server)) return false;
     if (!fleet_.slow_start.may_send(server)) return false;
-    if (!call.late) return context_.now + fleet_.delays.delay(server) <= call.establish_by();
-    // A late call earns little: it may use what is idle, but no token, or part of one, that a call in time
-    // needs.
-    const Duration queue = fleet_.delays.delay(server) - fleet_.delays.calm_delay(server);
-    return queue < context_.budget(DelayEstimate::kOverloadQueue) &&
-           fleet_.tokens.update_tokens(server) >= static_cast<double>(server.in_flight.size()) + kLateTokens;
+    if (!call.is_late) return context_.now + fleet_.delays.delay(server) <= call.establish_by();
+    // A late call has little weight: it may only use idle capacity, not a token or part of a token that a
+    // call in time needs.
+    const Duration queue_delay = fleet_.delays.delay(server) - fleet_.delays.base_delay(server);
+    return queue_delay < context_.response_budget_share(DelayEstimate::kOverloadQueueBudgets) &&
+           fleet_.tokens.update_tokens(server) >=
+               static_cast<double>(server.in_flight.size()) + kMinFreeTokensForLateCall;
   }
 
   Context& context_;
   Fleet& fleet_;
-  using Kind = std::tuple<const CallClass*, bool, ProtocolVersionSet, double, std::optional<PoolId>>;
-  std::map<Kind, Instant> rejected_until_;  // calls of which kind found none in this pass, and their time
+  using CallKind = std::tuple<const CallClass*, bool, ProtocolVersionSet, double, std::optional<PoolId>>;
+  std::map<CallKind, Instant> no_capacity_until_;  // kinds that found no server in this pass, up to that time
   std::uint64_t evaluations_ = 0;
 };
 
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -1,27 +1,30 @@
+// Quotas of the tenants.
 #pragma once
 
 #include "policy/context.hpp"
 
 namespace amberknot::policy {
 
-/// Departure: a call past its tenant's quota has a low weight. A sender knows its own part of the tenant's
-/// traffic only; past a multiple of an equal part of the quota, so many calls count as past it as are.
+/// Departure: a call over its tenant's quota is not rejected but gets a lower weight. A sender sees only its
+/// own share of the tenant's calls: above a multiple of an equal share of the quota, the calls over the quota
+/// are drawn at random, in proportion to the excess.
 class TenantQuotas {
  public:
   explicit TenantQuotas(Context& context) : context_(context), rates_(context.settings.tenants.size()) {}
 
+  /// Counts the call for its tenant. Returns true if it is over the quota.
   bool is_over_quota(std::size_t tenant) {
     const auto& tenants = context_.settings.tenants;
     const auto peer_count = context_.settings.peer_count;
     if (tenant >= tenants.size() || !tenants[tenant].quota_per_s || peer_count == 0) return false;
     auto& rate = rates_[tenant];
     rate.count(context_.now);
-    const double part = kMaxQuotaShare * *tenants[tenant].quota_per_s / peer_count;
-    return context_.random_up_to(1.0) * rate.per_second(context_.now, context_.started) > part;
+    const double max_own_rate = kMaxQuotaMultiple * *tenants[tenant].quota_per_s / peer_count;
+    return context_.random_up_to(1.0) * rate.per_second(context_.now, context_.started) > max_own_rate;
   }
 
  private:
-  static constexpr double kMaxQuotaShare = 1.5;  // a tenant's calls are not spread evenly over the senders
+  static constexpr double kMaxQuotaMultiple = 1.5;  // tenants' calls are spread unevenly over the senders
   Context& context_;
   std::vector<Rate> rates_;
 };
