--- a/include/amberknot/admission.hpp
+++ b/include/amberknot/admission.hpp
@@ -1,5 +1,5 @@
-// The whole public interface: settings, events, actions and the class that turns one into the other.
-// It states facts only. A fact that a deployment does not give is an empty optional.
+// The public interface of the library: settings, events, actions, and the class Admission, which returns the
+// actions for each event. A value that a deployment does not provide is an empty optional.
 #pragma once
 
 #include <chrono>
@@ -15,7 +15,7 @@
 
 using Duration = std::chrono::microseconds;
 
-/// The clock of the batch: no particular origin, moves forward only.
+/// Clock of the events, in microseconds: monotonic, with an unspecified epoch.
 struct BatchClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -25,58 +25,68 @@
 };
 using Instant = BatchClock::time_point;
 
+/// Number of a call, unique among the calls of one sender.
 enum class CallId : std::uint32_t {};
+/// Number of a session server.
 enum class ServerId : std::uint32_t {};
-enum class PoolId : std::uint32_t {};  ///< number of a pool or exchange
-enum class PeerId : std::uint32_t {};  ///< number of a sibling instance
+/// Number of a pool of servers, or of an exchange.
+enum class PoolId : std::uint32_t {};
+/// Number of a peer, that is another sender.
+enum class PeerId : std::uint32_t {};
+/// Identifies a timer in SetTimer and TimerExpired.
 enum class TimerHandle : std::uint64_t {};
 
 // ---- settings -------------------------------------------------------------------------------------------
 
+/// Settings of a class of call.
 struct CallClass {
-  Duration latency_objective{};
-  Duration deadline{};
-  double priority_weight = 0;
-  double late_weight_fraction = 0;  ///< fraction of the worth
-  bool idempotent = false;          ///< may be sent again although an earlier attempt might have run
-  std::vector<PoolId> pools;        ///< pools that may take it; empty: any
+  Duration latency_objective{};     ///< a call established later than this after its arrival is late
+  Duration deadline{};              ///< longest time that a caller waits
+  double priority_weight = 0;       ///< weight in the queue: higher is served first
+  double late_weight_fraction = 0;  ///< fraction of the priority weight that a late call keeps
+  bool idempotent = false;          ///< may be sent again even if an earlier attempt may have been executed
+  std::vector<PoolId> pools;        ///< pools whose servers may take the call; empty: any
   std::optional<Duration> mean_holding_time;  ///< mean duration of a call
 };
 
+/// Settings of a tenant.
 struct Tenant {
-  std::optional<double> quota_per_s;  ///< over all siblings together
+  std::optional<double> quota_per_s;  ///< calls per second, over all senders together
 };
 
+/// What the module may do in a deployment.
 struct Limits {
-  bool cancel = false;
-  bool probes = false;
-  bool peers = false;
-  bool retry_advice = false;
-  std::uint32_t max_tries = 0;
-  Duration max_retry_advice{};
+  bool cancel = false;          ///< may emit CancelAttempt
+  bool probes = false;          ///< may emit CheckHealth
+  bool peers = false;           ///< may exchange messages with its peers
+  bool retry_advice = false;    ///< may advise a rejected caller when to redial
+  std::uint32_t max_tries = 0;  ///< attempts per call
+  Duration max_retry_advice{};  ///< longest RejectCall::retry_after
 };
 
+/// Parameters of the rules that a sender must never break.
 struct Invariants {
-  Duration answer_slack{};
-  Duration drain_grace_period{};
-  double overload_multiple = 0;
-  Duration overload_window{};
-  double slow_start_initial_capacity = 0;
-  Duration slow_start_duration{};
-  Duration retry_pause{};
+  Duration answer_slack{};        ///< not used by the module
+  Duration drain_grace_period{};  ///< a draining server may get set-ups so long; not used by the module
+  double overload_multiple = 0;   ///< limits the set-ups of all senders to a server in slow start
+  Duration overload_window{};     ///< time over which `overload_multiple` applies
+  double slow_start_initial_capacity = 0;  ///< share of its full capacity that a server starts with, 0 to 1
+  Duration slow_start_duration{};          ///< time from a server's start to its full capacity
+  Duration retry_pause{};                  ///< pause before a retry after a timeout, reset or cancellation
   friend bool operator==(const Invariants&, const Invariants&) = default;
 };
 
+/// Settings of one sender.
 struct Settings {
-  std::uint64_t seed = 0;
-  std::uint32_t peer_count = 0;
-  PeerId self{};
-  std::optional<PoolId> own_pool;  ///< absent where calls are never in transit
-  bool endpoint_list_is_pushed = true;
-  Duration batch_interval{};                    ///< least time between batches
-  std::optional<Duration> retransmit_interval;  ///< a waiting set-up is repeated after this; absent: never
-  double over_quota_weight = 1;
-  std::vector<CallClass> classes;
+  std::uint64_t seed = 0;                       ///< of the random choices
+  std::uint32_t peer_count = 0;                 ///< number of senders, this one included
+  PeerId self{};                                ///< this sender
+  std::optional<PoolId> own_pool;               ///< never sent to; absent where no call is in transit
+  bool endpoint_list_is_pushed = true;          ///< false: the module requests it with WatchEndpoints
+  Duration batch_interval{};                    ///< shortest time between batches of events
+  std::optional<Duration> retransmit_interval;  ///< until a set-up is repeated; absent: never
+  double over_quota_weight = 1;    ///< factor of the priority weight of calls over their tenant's quota
+  std::vector<CallClass> classes;  ///< at least one
   std::vector<Tenant> tenants;
   Limits limits;
   Invariants invariants;
@@ -84,61 +94,69 @@
 
 // ---- events ---------------------------------------------------------------------------------------------
 
-/// What a server's processor says of itself, late and noisy.
+/// Load that a server's processor reports. The values may be delayed and noisy.
 struct LoadReport {
-  std::optional<double> free_lines;
-  std::optional<double> lines;
-  std::optional<Duration> wait;
-  std::optional<double> accept_rate;  ///< set-ups per second it can take from all senders together
-  std::optional<double> hold_back;    ///< share of set-ups it asks each sender not to send
-  std::optional<double> in_work;
-  std::optional<double> waiting;
-  std::optional<double> busy;
+  std::optional<double> free_lines;   ///< lines not in use
+  std::optional<double> lines;        ///< all lines, in use or free
+  std::optional<Duration> wait;       ///< time that a set-up waits at present
+  std::optional<double> accept_rate;  ///< set-ups per second that it accepts from all senders together
+  std::optional<double> hold_back;    ///< share of set-ups that it asks each sender to withhold
+  std::optional<double> in_work;      ///< set-ups in progress
+  std::optional<double> waiting;      ///< set-ups in its queue
+  std::optional<double> busy;         ///< utilization of the processor
 };
 
+/// State of a server in the endpoint list.
 enum class EndpointState : std::uint8_t { kReady, kRemoved, kDraining };
 
-/// A version of the servers' protocols, by number; what it speaks is none of the module's business.
+/// Number of a server's protocol version. The module only compares it with sets of versions.
 enum class ProtocolVersion : std::uint8_t {};
-/// Versions by bit, 0 to 31.
+/// Set of protocol versions: bit n stands for version n, 0 to 31.
 using ProtocolVersionSet = std::uint32_t;
 inline constexpr ProtocolVersionSet kAllVersions = ~ProtocolVersionSet{0};
 
+/// One server in the endpoint list.
 struct EndpointEntry {
   ServerId server{};
   PoolId pool{};
   EndpointState state = EndpointState::kReady;
-  std::optional<Instant> started;  ///< absent: long ago
+  std::optional<Instant> started;  ///< absent: too long ago for a slow start
   ProtocolVersion version{};       ///< may change while the server runs
 };
 
+/// A full or cached list replaces the known servers, a delta changes some of them; kFailed means that the
+/// request failed, and has no entries.
 enum class EndpointUpdateScope : std::uint8_t { kDelta, kFull, kCached, kFailed };
 
+/// A change of the endpoint list, or the whole list.
 struct EndpointUpdate {
   EndpointUpdateScope scope = EndpointUpdateScope::kFull;
   std::vector<EndpointEntry> entries;
 };
 
+/// A call has arrived.
 struct NewCall {
   CallId call{};
-  Instant expires{};
-  PoolId destination{};
-  double width = 1;
-  std::size_t call_class = 0;
-  std::size_t tenant = 0;
-  bool is_in_transit = false;
-  bool was_aborted = false;
-  bool is_redial = false;
-  ProtocolVersionSet excluded_versions = 0;  ///< servers of these versions cannot be told what it needs
+  Instant expires{};                         ///< end of the time that the caller waits
+  PoolId destination{};                      ///< preferred pool; the only one if the call is in transit
+  double width = 1;                          ///< lines that the call needs
+  std::size_t call_class = 0;                ///< index in Settings::classes
+  std::size_t tenant = 0;                    ///< index in Settings::tenants; a larger one has no quota
+  bool is_in_transit = false;                ///< must go to its destination
+  bool was_aborted = false;                  ///< the call was cut off and is set up again
+  bool is_redial = false;                    ///< the caller has tried before
+  ProtocolVersionSet excluded_versions = 0;  ///< versions that do not support what the call needs
 };
 
+/// A server has established a call.
 struct Established {
   CallId call{};
   ServerId server{};
-  std::uint32_t attempt = 0;
-  Duration elapsed{};
+  std::uint32_t attempt = 0;  ///< counted from zero
+  Duration elapsed{};         ///< time since the attempt was sent
 };
 
+/// Result of an attempt or a health check.
 enum class Outcome : std::uint8_t {
   kOk,
   kError,
@@ -150,36 +168,41 @@
   kNotSent
 };
 
+/// An attempt, or the established call that followed from it, has ended.
 struct AttemptEnded {
   CallId call{};
   ServerId server{};
   std::uint32_t attempt = 0;
   Outcome outcome = Outcome::kOk;
   Duration elapsed{};
-  bool call_ended = false;
-  bool is_caller_fault = false;  ///< an error that is no fault of the server: the number was busy, or
-                                 ///< a field of the call is not taken there
-  ProtocolVersionSet excludes_versions = 0;  ///< versions ruled out for this call from now on
-  std::optional<Duration> retry_after;       ///< the wait a full processor names
+  bool call_ended = false;       ///< the call needs no further attempt and no answer
+  bool is_caller_fault = false;  ///< an error not caused by the server: the number was busy, or the
+                                 ///< server does not accept a field of the call
+  ProtocolVersionSet excludes_versions = 0;  ///< versions that no later attempt of this call may use
+  std::optional<Duration> retry_after;       ///< pause that a full processor asks for
   LoadReport report;
 };
 
+/// The caller has hung up.
 struct CallAbandoned {
   CallId call{};
 };
 
+/// A timer set by SetTimer has expired.
 struct TimerExpired {
   TimerHandle handle{};
 };
 
+/// Result of a health check, or a load report that a server sent on its own.
 struct HealthCheckResult {
   ServerId server{};
   Outcome outcome = Outcome::kOk;
-  bool is_unsolicited = false;
+  bool is_unsolicited = false;  ///< not the answer to a CheckHealth
   Duration elapsed{};
   LoadReport report;
 };
 
+/// A message from a peer.
 struct PeerMessage {
   PeerId from{};
   std::vector<std::uint8_t> bytes;
@@ -190,43 +213,52 @@
 
 // ---- actions --------------------------------------------------------------------------------------------
 
+/// Send the call to the server.
 struct ForwardCall {
   CallId call{};
   ServerId server{};
-  Duration attempt_timeout{};  ///< zero: until the caller quits
+  Duration attempt_timeout{};  ///< zero: until the caller hangs up
 };
 
+/// Reject the call; no server has executed it, or it is idempotent.
 struct RejectCall {
   CallId call{};
-  Duration retry_after{};  ///< zero: no advice
+  Duration retry_after{};  ///< advised pause before a redial; zero: no advice
 };
 
+/// Report to the caller that the call failed; a server may have executed it.
 struct FailCall {
   CallId call{};
 };
 
+/// Cancel the attempt in flight.
 struct CancelAttempt {
   CallId call{};
-  std::uint32_t attempt = 0;
+  std::uint32_t attempt = 0;  ///< counted from zero
 };
 
+/// Deliver TimerExpired with the same handle at `when`.
 struct SetTimer {
   Instant when{};
   TimerHandle handle{};
 };
 
+/// Send a health check to the server.
 struct CheckHealth {
   ServerId server{};
 };
 
-struct BroadcastGossip {  ///< to every sibling
+/// Send a message to every peer.
+struct BroadcastGossip {
   std::vector<std::uint8_t> bytes;
 };
 
+/// Write a line to the log.
 struct LogMessage {
   std::string text;
 };
 
+/// Request the endpoint list and its updates.
 struct WatchEndpoints {};
 
 using Action = std::variant<ForwardCall, RejectCall, FailCall, CancelAttempt, SetTimer, CheckHealth,
@@ -234,27 +266,31 @@
 
 // ---- the decision module --------------------------------------------------------------------------------
 
-/// One sender's admission control. Deterministic: the same settings and events give the same actions.
+/// Admission control of one sender. Deterministic: the same settings and events give the same actions. Not
+/// thread-safe.
 class Admission {
  public:
+  /// Throws std::invalid_argument if the settings have no class of call.
   explicit Admission(Settings settings);
   ~Admission();
   Admission(Admission&&) noexcept;
   Admission& operator=(Admission&&) noexcept;
 
-  /// Called once, before the first event; the actions due at the start are appended.
+  /// Must be called once, before the first event. Appends the actions due at the start.
   void start(Instant now, std::vector<Action>& actions);
 
-  /// Takes one event at the batch's clock and appends the actions that follow from it.
+  /// Processes one event at the time `now` and appends the actions that follow. Throws std::out_of_range if
+  /// the class of a new call is not in the settings.
   void handle(Instant now, const Event& event, std::vector<Action>& actions);
 
-  /// New settings of a running sender: classes (as many as before or more, the old in their places) and
-  /// limits. Calls under way keep their class; a lower count of tries binds them from their next try.
+  /// Replaces the classes and limits of a running sender. Classes may be added, but keep their indices. Calls
+  /// in progress keep the settings of their class; a lower `max_tries` applies from their next attempt.
+  /// Throws std::invalid_argument if there are fewer classes than before.
   void apply_reload(const std::vector<CallClass>& classes, const Limits& limits);
 
-  /// How many servers it remembers, those that have gone lately included.
+  /// Number of servers in memory, including those removed recently.
   [[nodiscard]] std::size_t known_servers() const;
-  /// How often a server was looked at for a call, since the start: what the decisions cost.
+  /// Number of times that a server was evaluated for a call since the start; measures the cost of decisions.
   [[nodiscard]] std::uint64_t server_evaluations() const;
 
  private:
