--- a/src/settings/json_text.hpp
+++ b/src/settings/json_text.hpp
@@ -1,4 +1,5 @@
-// RapidJSON in situ, as it is used here: numbers stay text, deep nesting cannot exhaust the stack.
+// Helpers for JSON with RapidJSON: in-situ parsing that keeps numbers as text and cannot exhaust the stack on
+// deep nesting.
 #pragma once
 
 #define RAPIDJSON_HAS_STDSTRING 1
@@ -17,11 +18,11 @@
                                        rapidjson::kParseValidateEncodingFlag |
                                        rapidjson::kParseNumbersAsStringsFlag;
 
-/// RapidJSON's check of UTF-8 reads so many bytes on from a lead byte, also where the text ends before:
-/// whoever parses in place has them behind the text.
+/// Bytes that must follow the text when it is parsed in place: RapidJSON's UTF-8 validation reads this many
+/// bytes after a lead byte, even past the end of the text.
 inline constexpr std::size_t kJsonPad = 4;
 
-/// Parses in place; the document refers to `json` afterwards. False: it is no JSON.
+/// Parses in place; the document refers to `json` afterwards. Returns false if `json` is not valid JSON.
 template <unsigned kFlags = kJsonFlags>
 bool parse_in_place(std::string& json, rapidjson::Document& to) {
   json.append(kJsonPad, '\0');
@@ -29,8 +30,8 @@
   return !to.HasParseError();
 }
 
-/// Whether a text that RapidJSON has passed as UTF-8 holds half of a surrogate pair: it takes an escaped low
-/// one alone, and makes bytes of it that are none.
+/// Returns true if a text that RapidJSON has accepted contains a lone surrogate: RapidJSON accepts an escaped
+/// low surrogate without its high one and converts it to invalid UTF-8.
 inline bool has_lone_surrogate(std::string_view text) {
   for (std::size_t i = 0; i + 1 < text.size(); ++i) {
     if (text[i] == '\xed' && static_cast<unsigned char>(text[i + 1]) >= 0xa0) return true;
@@ -38,21 +39,25 @@
   return false;
 }
 
+/// The string's text; empty if the value is not a string.
 inline std::string_view text_of(const rapidjson::Value& value) {
   return value.IsString() ? std::string_view(value.GetString(), value.GetStringLength()) : std::string_view();
 }
 
+/// Returns null if `object` is not an object or has no such member.
 inline const rapidjson::Value* member(const rapidjson::Value& object, const char* name) {
   if (!object.IsObject()) return nullptr;
   const auto found = object.FindMember(name);
   return found == object.MemberEnd() ? nullptr : &found->value;
 }
 
+/// Text of a string member; empty if it is missing or not a string.
 inline std::string_view text_in(const rapidjson::Value& object, const char* name) {
   const auto* value = member(object, name);
   return value != nullptr ? text_of(*value) : std::string_view();
 }
 
+/// Parses the whole text as a finite number. Returns nothing if it is not one.
 inline std::optional<double> number_of(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -60,7 +65,7 @@
   return value;
 }
 
-/// Appends `text` as a JSON string with its quotes.
+/// Appends `text` as a quoted and escaped JSON string.
 inline void append_quoted(std::string& to, std::string_view text) {
   static constexpr char kHex[] = "0123456789abcdef";
   to += '"';
--- a/src/settings/settings.hpp
+++ b/src/settings/settings.hpp
@@ -1,4 +1,4 @@
-// Reads the settings text of an instance's first message. Unknown keys are skipped.
+// Parses the settings text of a sender: lines of the form key=value. Unknown keys are ignored.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,20 @@
 
 namespace amberknot::settings {
 
-/// A setting that is needed is missing or cannot be read; the text names its key.
+/// A required setting is missing, or a setting has an invalid value; the message names its key.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+/// The settings of the decision module, and those of its host.
 struct ParsedSettings {
   Settings settings;
-  std::vector<std::string> columns;  ///< names of the load report's values
-  bool names_wait = false;           ///< a full processor says how long to wait
+  std::vector<std::string> report_columns;  ///< names of the load report's values, in their order
+  bool reports_retry_wait = false;          ///< a full processor reports how long to wait before a retry
 };
 
+/// Throws SettingsError.
 ParsedSettings parse_settings(std::string_view text, std::uint64_t seed);
 
 }  // namespace amberknot::settings
--- a/src/settings/sse.cpp
+++ b/src/settings/sse.cpp
@@ -12,7 +12,7 @@
     if (c == '\n' || c == '\r') {
       on_line(on_event);
       line_.clear();
-    } else if (line_.size() + event_.data.size() >= most_) {
+    } else if (line_.size() + event_.data.size() >= max_bytes_) {
       return false;
     } else {
       line_ += c;
@@ -30,14 +30,14 @@
     return;
   }
   const auto colon = line_.find(':');
-  if (colon == 0) return;  // a comment: it only shows that the channel lives
-  const std::string_view name = std::string_view(line_).substr(0, colon);
+  if (colon == 0) return;  // a comment line, sent as a keep-alive
+  const std::string_view field = std::string_view(line_).substr(0, colon);
   std::string_view value =
       colon == std::string::npos ? std::string_view() : std::string_view(line_).substr(colon + 1);
   if (!value.empty() && value.front() == ' ') value.remove_prefix(1);
-  if (name == "id") event_.id = value;
-  if (name == "event") event_.name = value;
-  if (name == "data") {
+  if (field == "id") event_.id = value;
+  if (field == "event") event_.name = value;
+  if (field == "data") {
     if (has_data_) event_.data += '\n';
     event_.data += value;
     has_data_ = true;
--- a/src/settings/sse.hpp
+++ b/src/settings/sse.hpp
@@ -1,4 +1,5 @@
-// Server-sent events (the HTML standard, 9.2), as the command channel and session servers send them.
+// Parser for server-sent events (HTML standard, section 9.2), which the command channel and the session
+// servers send.
 #pragma once
 
 #include <cstddef>
@@ -8,24 +9,25 @@
 
 namespace amberknot::settings {
 
+/// One server-sent event.
 struct SseEvent {
-  std::string id;    ///< of this event or the last one that had any
-  std::string name;  ///< empty: none was given
+  std::string id;    ///< id of this event or, if it has none, of the last event with one
+  std::string name;  ///< event type; empty if none was given
   std::string data;
 };
 
-/// Server-sent events out of pieces that may be cut anywhere, also inside a line end.
+/// Reads server-sent events from pieces that may be split anywhere, even inside a line end.
 class SseReader {
  public:
-  /// A line and an event may have so many bytes.
   SseReader() = default;
-  explicit SseReader(std::size_t most) : most_(most) {}
-  /// False: a line or an event is longer than is believed.
+  /// `max_bytes` limits an unfinished line together with the data of its event.
+  explicit SseReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
+  /// Calls `on_event` for each complete event. Returns false if a line or an event exceeds the limit.
   bool feed(std::string_view piece, const std::function<void(const SseEvent&)>& on_event);
 
  private:
   void on_line(const std::function<void(const SseEvent&)>& on_event);
-  std::size_t most_ = 1024 * 1024;  // a whole list of a large fleet fits
+  std::size_t max_bytes_ = 1024 * 1024;  // fits the full endpoint list of a large fleet
   std::string line_;
   bool after_cr_ = false;
   SseEvent event_;
--- a/src/simhost/host.hpp
+++ b/src/simhost/host.hpp
@@ -1,4 +1,4 @@
-// Hosts many instances of the decision module: routes events to them and collects their actions.
+// Runs many instances of the decision module for the simulator.
 #pragma once
 
 #include <cstdint>
@@ -13,6 +13,7 @@
 
 namespace amberknot::simhost {
 
+/// Passes the events of each batch to the instances and collects their actions. Not thread-safe.
 class Host {
  public:
   Host();
@@ -20,15 +21,16 @@
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
-  /// Answers one batch. Throws WireError on a frame that cannot be read.
+  /// Processes one batch and returns the reply. Throws WireError if the frame is invalid; an exception of an
+  /// instance is reported in the reply and stops that instance.
   std::vector<std::uint8_t> answer(const BatchHeader& header, std::span<const std::uint8_t> body);
 
  private:
   struct Instance;
-  struct Round;
+  struct Batch;
 
   std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
-  std::map<std::uint16_t, std::vector<EndpointEntry>> lists_;
+  std::map<std::uint16_t, std::vector<EndpointEntry>> endpoint_lists_;
 };
 
 }  // namespace amberknot::simhost
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -1,4 +1,5 @@
-// Reads batches from standard input and writes one flushed reply for each, until input ends.
+// Adapter between the simulator and the decision module: reads batches from standard input and writes one
+// flushed reply for each, until the input ends.
 #include <algorithm>
 #include <array>
 #include <cstdint>
@@ -13,20 +14,20 @@
 
 using namespace amberknot::simhost;
 
-std::size_t read_some(std::uint8_t* into, std::size_t size) {
+std::size_t read_input(std::uint8_t* into, std::size_t size) {
   std::cin.read(reinterpret_cast<char*>(into), static_cast<std::streamsize>(size));
   return static_cast<std::size_t>(std::cin.gcount());
 }
 
-/// Memory grows with the bytes that arrive, not with what a header promises.
+/// Reads in steps, so that memory grows with the bytes received and not with the length in the header.
 std::vector<std::uint8_t> read_body(std::size_t size) {
-  constexpr std::size_t kStep = 1U << 20U;
+  constexpr std::size_t kStepBytes = 1U << 20U;
   std::vector<std::uint8_t> body;
   while (body.size() < size) {
-    const std::size_t had = body.size();
-    const std::size_t step = std::min(kStep, size - had);
-    body.resize(had + step);
-    if (read_some(body.data() + had, step) != step) throw WireError("frame truncated");
+    const std::size_t old_size = body.size();
+    const std::size_t step = std::min(kStepBytes, size - old_size);
+    body.resize(old_size + step);
+    if (read_input(body.data() + old_size, step) != step) throw WireError("input ended within a frame body");
   }
   return body;
 }
@@ -35,9 +36,9 @@
   Host host;
   std::array<std::uint8_t, kBatchHeaderSize> bytes{};
   while (true) {
-    const auto got = read_some(bytes.data(), bytes.size());
-    if (got == 0) return 0;
-    if (got != bytes.size()) throw WireError("header truncated");
+    const auto bytes_read = read_input(bytes.data(), bytes.size());
+    if (bytes_read == 0) return 0;
+    if (bytes_read != bytes.size()) throw WireError("input ended within a frame header");
     const auto header = decode_header(bytes);
     const auto reply = host.answer(header, read_body(header.body_bytes));
     std::cout.write(reinterpret_cast<const char*>(reply.data()), static_cast<std::streamsize>(reply.size()));
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,5 @@
-// The wire: every field where it should be, and frames that must be turned away.
+// Simulator wire format. Guards against fields read from or written to the wrong offset, and against
+// malformed frames that are accepted or read out of bounds.
 #include "codec.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
   return decode_body(decode_header(frame.header(1000)), frame.body());
 }
 template <typename T>
-T only(const Frame& frame) {
+T decode_single(const Frame& frame) {
   const auto events = decode(frame);
   EXPECT_EQ(events.size(), 1U);
   return std::get<T>(events.at(0));
@@ -32,7 +33,7 @@
   EXPECT_TRUE(decode_body(header, {}).empty());
 }
 
-TEST(Decode, Ingress) {
+TEST(Decode, NewCall) {
   Bytes fields{3};
   put(fields, 77, 4);
   put(fields, 123, 8);
@@ -42,7 +43,7 @@
   put(fields, 0x40400000, 4);  // 3.0
   put(fields, 9, 2);
   put(fields, 1, 1);
-  const auto call = only<NewCall>(Frame{}.record(fields));
+  const auto call = decode_single<NewCall>(Frame{}.record(fields));
   EXPECT_EQ(call.call, CallId{77});
   EXPECT_EQ(call.width, 2.0);
   EXPECT_EQ(call.expires, Instant{5s});
@@ -52,7 +53,7 @@
   EXPECT_EQ(call.call_class, 1U);
 }
 
-TEST(Decode, ReportBack) {
+TEST(Decode, AttemptEnded) {
   Bytes fields{5};
   put(fields, 77, 4);
   put(fields, 2, 1);
@@ -64,7 +65,7 @@
   put(fields, 2, 1);
   put(fields, 0x40000000, 4);
   put(fields, 0xbf800000, 4);
-  const auto raw = only<RawAttemptEnded>(Frame{}.record(fields));
+  const auto raw = decode_single<RawAttemptEnded>(Frame{}.record(fields));
   EXPECT_EQ(raw.event.call, CallId{77});
   EXPECT_EQ(raw.event.attempt, 2U);
   EXPECT_EQ(raw.event.server, ServerId{5});
@@ -77,25 +78,26 @@
   EXPECT_EQ(raw.report.values[1], -1.0F);
 }
 
-TEST(Decode, AcceptedPongMemoBell) {
-  Bytes accepted{4};
-  put(accepted, 7, 4);
-  put(accepted, 8, 4);
-  put(accepted, 900, 4);
-  put(accepted, 1, 1);
-  Bytes pong{8};
-  put(pong, 250, 4);
-  put(pong, 8, 4);
-  put(pong, 3, 2);
-  Bytes bell{7};
-  put(bell, 99, 8);
+TEST(Decode, EstablishedHealthCheckResultTimerAndPeerMessage) {
+  Bytes established{4};
+  put(established, 7, 4);
+  put(established, 8, 4);
+  put(established, 900, 4);
+  put(established, 1, 1);
+  Bytes health_check_result{8};
+  put(health_check_result, 250, 4);
+  put(health_check_result, 8, 4);
+  put(health_check_result, 3, 2);
+  Bytes timer_expired{7};
+  put(timer_expired, 99, 8);
   Frame frame;
   frame.tail = {1, 2, 3};
-  Bytes memo{9};
-  put(memo, 4, 4);
-  put(memo, 1, 4);
-  put(memo, 2, 4);
-  const auto events = decode(frame.record(accepted).record(pong).record(bell).record(memo));
+  Bytes peer_message{9};
+  put(peer_message, 4, 4);
+  put(peer_message, 1, 4);
+  put(peer_message, 2, 4);
+  const auto events = decode(
+      frame.record(established).record(health_check_result).record(timer_expired).record(peer_message));
   EXPECT_EQ(std::get<Established>(events.at(0)).elapsed, 900us);
   EXPECT_EQ(std::get<Established>(events.at(0)).attempt, 1U);
   EXPECT_EQ(std::get<RawHealthCheckResult>(events.at(1)).event.outcome, Outcome::kTimeout);
@@ -105,8 +107,8 @@
   EXPECT_EQ(std::get<PeerMessage>(events.at(3)).bytes, (Bytes{2, 3}));
 }
 
-TEST(Decode, ListEntries) {
-  const auto list = only<DefineList>(Frame{}.define_list(3, {11, 12}));
+TEST(Decode, EndpointList) {
+  const auto list = decode_single<DefineEndpointList>(Frame{}.define_list(3, {11, 12}));
   EXPECT_EQ(list.number, 3U);
   ASSERT_EQ(list.entries.size(), 2U);
   EXPECT_EQ(list.entries[1].server, ServerId{12});
@@ -114,7 +116,7 @@
   EXPECT_FALSE(list.entries[1].started.has_value());
 }
 
-TEST(Refused, UnknownCodesAndValues) {
+TEST(Rejects, UnknownCodesAndValues) {
   EXPECT_THROW(decode(Frame{}.record({13})), WireError);
   EXPECT_THROW(decode(Frame{}.record({0})), WireError);
   EXPECT_THROW(decode(Frame{}.sync(4, 0)), WireError);
@@ -126,7 +128,7 @@
   EXPECT_THROW(decode(Frame{}.record(put(report, 5, 1))), WireError);
 }
 
-TEST(Refused, NumbersThatAreNone) {
+TEST(Rejects, InvalidPoolNumbers) {
   for (const std::uint32_t bits : {0x7fc00000U, 0x7f800000U, 0xbf800000U, 0x7f000000U}) {
     Bytes fields{3};
     fields.resize(26);
@@ -134,7 +136,7 @@
   }
 }
 
-TEST(Refused, TailReferencesOutOfRange) {
+TEST(Rejects, TailReferencesOutOfRange) {
   for (const auto& [offset, length] : {std::pair{0U, 4U}, {4U, 0U}, {0xffffffffU, 2U}, {2U, 0xffffffffU}}) {
     Bytes fields{9};
     put(fields, 1, 4);
@@ -147,11 +149,11 @@
   Bytes list{11};
   put(list, 1, 2);
   put(list, 0, 4);
-  put(list, 200'000'000, 4);  // entries times their size would wrap
+  put(list, 200'000'000, 4);  // the number of entries times their size would overflow
   EXPECT_THROW(decode(Frame{}.record(list)), WireError);
 }
 
-TEST(Refused, HeadersThatDoNotFit) {
+TEST(Rejects, HeadersThatDoNotMatchTheBody) {
   Frame frame;
   frame.switch_to(1);
   auto header = decode_header(frame.header(1));
@@ -165,8 +167,8 @@
   EXPECT_THROW(decode_header(hex("0000")), WireError);
 }
 
-// Any bytes at all are either read or turned away; sanitizers watch the rest.
-TEST(Refused, NoiseNeverReadsOutOfBounds) {
+// Random bytes are either decoded or rejected with WireError; out-of-bounds reads show under sanitizers.
+TEST(Rejects, RandomBytesWithoutReadingOutOfBounds) {
   std::mt19937 random(7);
   for (int round = 0; round < 20'000; ++round) {
     Bytes body(48 * (1 + random() % 3) + random() % 60);
@@ -182,11 +184,11 @@
 
 TEST(Encode, ActionsAndTail) {
   ReplyWriter reply;
-  reply.speak_for(3);
+  reply.select_instance(3);
   reply.add(ForwardCall{CallId{0x5d3a91c4}, ServerId{0x03124a07}, 80'000us});
-  reply.speak_for(3);
+  reply.select_instance(3);
   reply.add(SetTimer{Instant{Duration{0x87fd7a}}, TimerHandle{0x4d}});
-  reply.speak_for(5);
+  reply.select_instance(5);
   reply.add(LogMessage{"two servers known"});
   const auto bytes = reply.finish();
   const auto expected =
@@ -200,7 +202,7 @@
   EXPECT_EQ(bytes, expected);
 }
 
-TEST(Encode, EveryOtherAction) {
+TEST(Encode, AllOtherActions) {
   ReplyWriter reply;
   reply.add(RejectCall{CallId{1}, 250ms});
   reply.add(FailCall{CallId{2}});
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -1,4 +1,6 @@
-// Whole batches through the adapter: several instances, restarts, list numbers, panics.
+// Whole batches through the simulator adapter. Guards against instances that influence each other in a shared
+// process, state that survives a restart, endpoint lists taken from the wrong record, and failures that are
+// not reported.
 #include "host.hpp"
 
 #include <gtest/gtest.h>
@@ -42,34 +44,34 @@
   return found;
 }
 
-std::vector<Record> sends(const Bytes& reply) {
+std::vector<Record> forwarded_calls(const Bytes& reply) {
   auto found = records(reply);
   std::erase_if(found, [](const Record& record) { return record.code != 1; });
   return found;
 }
 
-TEST(Host, EmptyBatchGetsAnEmptyReply) {
+TEST(Host, EmptyBatchGetsEmptyReply) {
   Host host;
   EXPECT_EQ(answer(host, Frame{}), Bytes(8));
 }
 
-TEST(Host, InstancesDecideForThemselvesAndSpeakInTheirOwnName) {
+TEST(Host, InstancesDecideSeparatelyAndRepliesNameThem) {
   Host host;
   const auto text = settings_text();
   Frame frame;
   frame.switch_to(3).launch(1, text).define_list(0, {70}).sync(2, 0).ingress(1, 3'000'000);
   frame.switch_to(8).launch(2, text).define_list(0, {80}).sync(2, 0).ingress(1, 3'000'000);
-  const auto sent = sends(answer(host, frame));
+  const auto sent = forwarded_calls(answer(host, frame));
   ASSERT_EQ(sent.size(), 2U);
   EXPECT_EQ(sent[0].node, 3U);
-  EXPECT_EQ(sent[0].server, 70U);  // its list number was reused later in the same batch
+  EXPECT_EQ(sent[0].server, 70U);  // list number 0 is defined anew later in this batch
   EXPECT_EQ(sent[1].node, 8U);
   EXPECT_EQ(sent[1].server, 80U);
 }
 
-TEST(Host, SharingAProcessChangesNothing) {
+TEST(Host, InstancesInOneProcessDecideAsInSeparateProcesses) {
   const auto text = settings_text();
-  const auto alone = [&](std::uint32_t node) {
+  const auto reply_alone = [&](std::uint32_t node) {
     Host host;
     Frame frame;
     frame.switch_to(node).launch(node, text).define_list(0, {70, 71}).sync(2, 0);
@@ -77,36 +79,36 @@
     return answer(host, frame);
   };
   Host host;
-  Frame both;
+  Frame both_instances;
   for (const std::uint32_t node : {1U, 2U}) {
-    both.switch_to(node).launch(node, text).define_list(0, {70, 71}).sync(2, 0);
-    for (std::uint32_t id = 0; id < 40; ++id) both.ingress(id, 3'000'000);
+    both_instances.switch_to(node).launch(node, text).define_list(0, {70, 71}).sync(2, 0);
+    for (std::uint32_t id = 0; id < 40; ++id) both_instances.ingress(id, 3'000'000);
   }
-  const auto together = sends(answer(host, both));
-  auto apart = sends(alone(1));
-  for (const auto& record : sends(alone(2))) apart.push_back(record);
-  ASSERT_EQ(together.size(), apart.size());
-  ASSERT_FALSE(apart.empty());
-  for (std::size_t i = 0; i < apart.size(); ++i) {
-    EXPECT_EQ(together[i].node, apart[i].node);
-    EXPECT_EQ(together[i].server, apart[i].server);
+  const auto shared_records = forwarded_calls(answer(host, both_instances));
+  auto separate_records = forwarded_calls(reply_alone(1));
+  for (const auto& record : forwarded_calls(reply_alone(2))) separate_records.push_back(record);
+  ASSERT_EQ(shared_records.size(), separate_records.size());
+  ASSERT_FALSE(separate_records.empty());
+  for (std::size_t i = 0; i < separate_records.size(); ++i) {
+    EXPECT_EQ(shared_records[i].node, separate_records[i].node);
+    EXPECT_EQ(shared_records[i].server, separate_records[i].server);
   }
 }
 
-TEST(Host, ARestartForgetsEverything) {
+TEST(Host, RestartDropsAllState) {
   Host host;
   const auto text = settings_text();
   Frame first;
   first.switch_to(1).launch(1, text).define_list(0, {70}).sync(2, 0);
   for (std::uint32_t id = 0; id < 20; ++id) first.ingress(id, 3'000'000);
-  const auto before = sends(answer(host, first)).size();
-  Frame again;
-  again.switch_to(1).record({10}).launch(2, text).define_list(0, {70}).sync(2, 0);
-  for (std::uint32_t id = 100; id < 120; ++id) again.ingress(id, 3'000'000);
-  EXPECT_EQ(sends(answer(host, again, 2000)).size(), before);
+  const auto before = forwarded_calls(answer(host, first)).size();
+  Frame after_restart;
+  after_restart.switch_to(1).record({10}).launch(2, text).define_list(0, {70}).sync(2, 0);
+  for (std::uint32_t id = 100; id < 120; ++id) after_restart.ingress(id, 3'000'000);
+  EXPECT_EQ(forwarded_calls(answer(host, after_restart, 2000)).size(), before);
 }
 
-TEST(Host, AMissingSettingPanicsNamingTheKey) {
+TEST(Host, MissingSettingIsReportedAsPanicWithItsKey) {
   Host host;
   auto keys = settings_keys();
   keys.erase("limits.most_tries");
@@ -117,7 +119,7 @@
   EXPECT_NE(std::string(reply.begin(), reply.end()).find("limits.most_tries"), std::string::npos);
 }
 
-TEST(Host, AnExceptionInTheModulePanicsWithItsText) {
+TEST(Host, ExceptionInModuleIsReportedAsPanicWithItsMessage) {
   Host host;
   Frame frame;
   frame.switch_to(1).launch(1, settings_text()).define_list(0, {70}).sync(2, 0);
@@ -129,17 +131,17 @@
   EXPECT_NE(std::string(reply.begin(), reply.end()).find("class"), std::string::npos);
 }
 
-TEST(Host, AnUndefinedListIsInconsistent) {
+TEST(Host, RejectsUndefinedEndpointList) {
   Host host;
   EXPECT_THROW(answer(host, Frame{}.switch_to(1).launch(1, settings_text()).sync(1, 5)), WireError);
 }
 
-TEST(Host, EventsForAnInstanceNotRunningAreIgnored) {
+TEST(Host, IgnoresEventsForInstanceThatIsNotRunning) {
   Host host;
   EXPECT_EQ(answer(host, Frame{}.switch_to(1).ingress(1, 1000)), Bytes(8));
 }
 
-TEST(Host, AReportMeasuresTheWaitOfTheServer) {
+TEST(Host, LoadReportSetsTheWaitOfTheServer) {
   Host host;
   Frame frame;
   frame.switch_to(1).launch(1, settings_text()).define_list(0, {70}).sync(2, 0);
@@ -153,7 +155,7 @@
   testing::put(ended, 0x447a0000, 4);
   testing::put(ended, 0x453b8000, 4);  // a wait of 3000 ms
   frame.record(ended).ingress(1, 3'000'000);
-  EXPECT_TRUE(sends(answer(host, frame)).empty());
+  EXPECT_TRUE(forwarded_calls(answer(host, frame)).empty());
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,3 +1,5 @@
+// Parsing of the settings text. Guards against a missing, unreadable or nonsensical setting that is accepted,
+// or whose error does not name its key.
 #include "settings/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +13,7 @@
 using testing::settings_keys;
 using testing::settings_text;
 
-TEST(Settings, ReadsWhatTheModuleNeeds) {
+TEST(Settings, ReadsAllSettings) {
   const auto parsed = parse_settings(settings_text(), 9);
   const auto& settings = parsed.settings;
   EXPECT_EQ(settings.seed, 9U);
@@ -28,11 +30,11 @@
   EXPECT_EQ(settings.limits.max_tries, 4U);
   ASSERT_EQ(settings.tenants.size(), 1U);
   EXPECT_EQ(settings.tenants[0].quota_per_s, 12.5);
-  EXPECT_EQ(parsed.columns.size(), 4U);
-  EXPECT_TRUE(parsed.names_wait);
+  EXPECT_EQ(parsed.report_columns.size(), 4U);
+  EXPECT_TRUE(parsed.reports_retry_wait);
 }
 
-TEST(Settings, AbsentFactsStayAbsent) {
+TEST(Settings, OptionalSettingsMayBeAbsent) {
   auto keys = settings_keys();
   for (const auto* key : {"report.columns", "tenants.count", "family_info.class_hold_us",
                           "family_info.retry_hint", "family_info.skilled_pools.0"}) {
@@ -44,21 +46,21 @@
   EXPECT_FALSE(parsed.settings.classes[0].mean_holding_time.has_value());
   EXPECT_TRUE(parsed.settings.classes[0].pools.empty());
   EXPECT_TRUE(parsed.settings.tenants.empty());
-  EXPECT_TRUE(parsed.columns.empty());
-  EXPECT_FALSE(parsed.names_wait);
+  EXPECT_TRUE(parsed.report_columns.empty());
+  EXPECT_FALSE(parsed.reports_retry_wait);
 }
 
-TEST(Settings, UnknownKeysAndOddLinesAreSkipped) {
+TEST(Settings, IgnoresUnknownKeysAndMalformedLines) {
   EXPECT_NO_THROW(parse_settings("novelty=1\nno equals sign\n\n=\n" + settings_text(), 9));
 }
 
-class NeededKey : public ::testing::TestWithParam<const char*> {};
+class RequiredKey : public ::testing::TestWithParam<const char*> {};
 
-TEST_P(NeededKey, MissingOrUnreadableIsNamed) {
+TEST_P(RequiredKey, ErrorNamesMissingOrUnreadableKey) {
   const std::string key = GetParam();
-  for (const bool missing : {true, false}) {
+  for (const bool is_missing : {true, false}) {
     auto keys = settings_keys();
-    if (missing) {
+    if (is_missing) {
       keys.erase(key);
     } else {
       keys[key] = "12x";
@@ -72,7 +74,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Keys, NeededKey,
+INSTANTIATE_TEST_SUITE_P(Keys, RequiredKey,
                          ::testing::Values("siblings", "self_index", "round_us", "classes.count",
                                            "classes.0.aim_us", "classes.0.deadline_us", "classes.0.value",
                                            "limits.cancel", "limits.probes", "limits.peers",
@@ -82,35 +84,35 @@
                                            "invariants.fall_multiple", "invariants.fall_us",
                                            "invariants.cold_from", "invariants.ramp_time_us"));
 
-// Two deployments, with and without tenants, reports and advice: what makes no sense is named in either.
-TEST(Settings, SenselessValuesAreNamed) {
-  auto bare = settings_keys();
+// Checked for two deployments: with tenants, load reports and retry advice, and without them.
+TEST(Settings, ErrorNamesKeyWithNonsensicalValue) {
+  auto without_optional_settings = settings_keys();
   for (const auto* key :
        {"report.columns", "tenants.count", "tenants.0.quota_per_s", "family_info.resend_us"}) {
-    bare.erase(key);
+    without_optional_settings.erase(key);
   }
-  bare["limits.retry_after"] = "false";
-  const std::pair<const char*, const char*> rows[] = {{"siblings", "0"},
-                                                      {"siblings", "1.5"},
-                                                      {"self_index", "4"},
-                                                      {"discovery", "pushd"},
-                                                      {"classes.count", "0"},
-                                                      {"classes.0.deadline_us", "0"},
-                                                      {"classes.0.aim_us", "-1"},
-                                                      {"classes.0.value", "-2"},
-                                                      {"classes.0.late_worth", "-0.1"},
-                                                      {"classes.0.repeat", "idempotnt"},
-                                                      {"family_info.clear_wait_us", "-200000"},
-                                                      {"family_info.skilled_pools.0", "0,x"},
-                                                      {"invariants.cold_from", "0"},
-                                                      {"invariants.cold_from", "28"},
-                                                      {"invariants.fall_multiple", "0"},
-                                                      {"invariants.drain_grace_us", "1e300"},
-                                                      {"limits.most_tries", "0"},
-                                                      {"limits.cancel", "yes"}};
-  for (const auto& base : {settings_keys(), bare}) {
+  without_optional_settings["limits.retry_after"] = "false";
+  const std::pair<const char*, const char*> invalid_values[] = {{"siblings", "0"},
+                                                                {"siblings", "1.5"},
+                                                                {"self_index", "4"},
+                                                                {"discovery", "pushd"},
+                                                                {"classes.count", "0"},
+                                                                {"classes.0.deadline_us", "0"},
+                                                                {"classes.0.aim_us", "-1"},
+                                                                {"classes.0.value", "-2"},
+                                                                {"classes.0.late_worth", "-0.1"},
+                                                                {"classes.0.repeat", "idempotnt"},
+                                                                {"family_info.clear_wait_us", "-200000"},
+                                                                {"family_info.skilled_pools.0", "0,x"},
+                                                                {"invariants.cold_from", "0"},
+                                                                {"invariants.cold_from", "28"},
+                                                                {"invariants.fall_multiple", "0"},
+                                                                {"invariants.drain_grace_us", "1e300"},
+                                                                {"limits.most_tries", "0"},
+                                                                {"limits.cancel", "yes"}};
+  for (const auto& base : {settings_keys(), without_optional_settings}) {
     ASSERT_NO_THROW(parse_settings(settings_text(base), 9));
-    for (const auto& [key, value] : rows) {
+    for (const auto& [key, value] : invalid_values) {
       auto keys = base;
       keys[key] = value;
       try {
@@ -127,7 +129,7 @@
   EXPECT_THROW(parse_settings(settings_text(keys), 9), SettingsError);
 }
 
-TEST(Settings, HugeCountsAreTurnedAway) {
+TEST(Settings, RejectsHugeAndNegativeCounts) {
   auto keys = settings_keys();
   keys["classes.count"] = "4000000000";
   EXPECT_THROW(parse_settings(settings_text(keys), 9), SettingsError);
--- a/tests/settings_text.hpp
+++ b/tests/settings_text.hpp
@@ -1,4 +1,4 @@
-// A settings text as an instance receives it, with one key changed or left out.
+// A valid settings text for tests, whose keys a test may change or remove before it is written.
 #pragma once
 
 #include <map>
--- a/tests/wire_format_simulator_test.cpp
+++ b/tests/wire_format_simulator_test.cpp
@@ -1,4 +1,5 @@
-// The bytes of every action that the simulator adapter writes.
+// Bytes of every action that the simulator adapter writes. Guards against a change of the wire format, for
+// example by a renamed or reordered field.
 #include <doctest/doctest.h>
 
 #include "simhost/codec.hpp"
@@ -46,20 +47,20 @@
         "0b0100000000000000000000000000000000000000000000");
 }
 
-TEST_CASE("simulator reply bytes: durations are bounded") {
+TEST_CASE("simulator reply bytes: durations are clamped to 0 to 2^31 - 1 us") {
   CHECK(reply_of({RejectCall{CallId{1}, microseconds{-1}}, RejectCall{CallId{1}, std::chrono::hours{2}}}) ==
         "3000000002000000"
         "020100000000000000000000000000000000000000000000"
         "0201000000ffffff7f000000000000000000000000000000");
 }
 
-TEST_CASE("simulator reply bytes: instances, and what is of variable length") {
+TEST_CASE("simulator reply bytes: selected instances and parts of variable length") {
   simhost::ReplyWriter writer;
-  writer.speak_for(3);
+  writer.select_instance(3);
   writer.add(BroadcastGossip{{0x68, 0x69}});
-  writer.speak_for(3);
+  writer.select_instance(3);
   writer.add(LogMessage{"two servers known"});
-  writer.speak_for(0x04030201);
+  writer.select_instance(0x04030201);
   writer.add_panic("no");
   const auto bytes = writer.finish();
   CHECK(hex_of({reinterpret_cast<const char*>(bytes.data()), bytes.size()}) ==
