--- a/src/core/call.hpp
+++ b/src/core/call.hpp
@@ -1,5 +1,5 @@
-// One call as the call table keeps it: its states, the transitions between them, and what it was set up with.
-// No I/O and no clock.
+// A call as stored in the call table: its set-up, its states and the transitions between them. Does no I/O
+// and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,44 +15,44 @@
 
 namespace amberknot::core {
 
-/// A caller's set-up, read and checked by its frontend.
+/// A set-up request from a caller, parsed and validated by its frontend.
 struct NewSetUp {
   std::string id;  ///< 16 hex digits
   std::string call_class;
   std::string number;
   std::string description;
-  CallFacts facts;  ///< `expires` is when the caller stops waiting
-  /// What the frontend read beyond these fields, for upstream pools that need it; null: nothing.
+  CallRequest facts;  ///< `expires` is when the caller stops waiting
+  /// The parsed request, for upstream pools that need more than the fields above; null if there is none.
   std::unique_ptr<const ProtocolMessage> message = {};
 };
 
-/// How an attempt ended, before or after the call was established, as the server's side saw it.
+/// How an attempt ended, before or after the call was established, as seen by the upstream pool.
 struct AttemptEnd {
   Outcome outcome = Outcome::kOk;
   Cause cause = Cause::kNormal;
   bool is_caller_fault = false;
   LoadReport load = {};
-  /// What the error means, where a server answered with one; it then decides the outcome.
+  /// The classification of the server's error response, if there was one; it then determines the outcome.
   std::optional<ErrorMeaning> error = {};
-  std::optional<Duration> retry_after = {};  ///< asked for by the server
+  std::optional<Duration> retry_after = {};  ///< delay requested by the server
 };
 
-/// The states of a call and what leads from one to the next:
+/// The states of a call, and the events that lead from one to the next:
 ///
 /// | from | event | to |
 /// | --- | --- | --- |
 /// | (new) | `CallTable::admit` | queued |
-/// | queued | the module forwards it | in flight |
-/// | queued | rejected, failed, abandoned by its caller, or its deadline | (over) |
-/// | in flight | the server answers with 200 or its like | established |
-/// | in flight | the attempt ends: error, overload, time-out, reset, cancel, never sent | queued |
+/// | queued | the decision module forwards it | in flight |
+/// | queued | rejected, failed, abandoned by its caller, or expired | (over) |
+/// | in flight | the server accepts the call (200 or equivalent) | established |
+/// | in flight | the attempt ends: error, overload, timeout, reset, cancelled or never sent_at | queued |
 /// | in flight | abandoned by its caller | (over) |
 /// | established | released by the caller | (over) |
 /// | established | released by the server, or its server is lost | releasing |
-/// | releasing | the caller has been sent its release | (over) |
+/// | releasing | the caller has been sent_at its release | (over) |
 enum class CallState : std::uint8_t { kQueued, kInFlight, kEstablished, kReleasing };
 
-/// Whether the table above leads from one state to the other.
+/// Returns whether the table above contains a transition from `from` to `to`.
 constexpr bool is_transition(CallState from, CallState to) {
   switch (from) {
     case CallState::kQueued:
@@ -73,14 +73,14 @@
   ClientPort* client = nullptr;
   CallState state = CallState::kQueued;
   std::uint32_t attempts = 0;
-  ServerId server{};          ///< of the latest attempt
-  ProtocolVersion version{};  ///< the same
+  ServerId server{};          ///< server of the latest attempt
+  ProtocolVersion version{};  ///< protocol version of the latest attempt
   Placement placement;
-  Instant sent{};                ///< when the latest attempt was forwarded
-  TimerWheel::Handle timer = 0;  ///< of the deadline; 0: none is armed
-  Instant timer_due{};
+  Instant sent_at{};             ///< when the latest attempt was forwarded
+  TimerWheel::Handle timer = 0;  ///< the deadline timer; 0 if none is armed
+  Instant timer_due_at{};
 
-  /// Queued or in flight: its caller is owed a final answer.
+  /// Whether the call is queued or in flight, so that its caller still waits for a final answer.
   [[nodiscard]] bool is_unanswered() const {
     return state == CallState::kQueued || state == CallState::kInFlight;
   }
--- a/src/core/call_table.cpp
+++ b/src/core/call_table.cpp
@@ -6,7 +6,7 @@
 
 namespace amberknot::core {
 
-// A call is ended this much before its caller stops waiting, so that the answer still reaches it.
+// Calls are ended this long before their callers stop waiting, so that the final answer arrives in time.
 constexpr Duration kAnswerMargin = 2 * TimerWheel::kTick;
 
 CallTable::CallTable(Dispatcher& dispatcher, EndpointRegistry& servers, TimerWheel& wheel, Counters& counters,
@@ -18,14 +18,14 @@
       clock_(std::move(clock)),
       broadcast_([](const auto&) {}),
       log_([](const auto&) {}),
-      decisions_([this](const Decision& decision) { execute_one(decision); }) {}
+      decisions_([this](const Decision& decision) { execute_decision(decision); }) {}
 
 void CallTable::connect(BroadcastSink broadcast, LogSink log) {
   broadcast_ = std::move(broadcast);
   log_ = std::move(log);
 }
 
-// ---- from the callers' side -----------------------------------------------------------------------------
+// ---- events from callers ---------------------------------------------------------------------------------
 
 CallId CallTable::admit(ClientPort& client, NewSetUp set_up) {
   while (calls_.contains(CallId{next_id_})) ++next_id_;
@@ -42,7 +42,7 @@
 }
 
 void CallTable::route(CallId id) {
-  if (const auto* call = find(id)) execute(dispatcher_.pick(clock_(), id, call->set_up.facts));
+  if (const auto* call = find(id)) execute(dispatcher_.report_new_call(clock_(), id, call->set_up.facts));
 }
 
 void CallTable::abandon(CallId id) {
@@ -50,8 +50,8 @@
   if (call == nullptr || call->state == CallState::kEstablished) return;
   ++counters_.abandoned;
   const bool is_in_flight = call->state == CallState::kInFlight;
-  const auto attempt = attempt_of(id, *call);
-  const Duration elapsed = clock_() - call->sent;
+  const auto attempt = latest_attempt(id, *call);
+  const Duration elapsed = clock_() - call->sent_at;
   const std::size_t call_class = call->set_up.facts.call_class;
   forget(id);
   if (!is_in_flight) {
@@ -62,8 +62,8 @@
   const Outcome outcome = cancel_attempt(attempt, Outcome::kCancelled);
   counters_.count_attempt_end(outcome, call_class);
   execute(dispatcher_.report_abandoned(clock_(), id));
-  execute(dispatcher_.report_end(clock_(), id, attempt.server, attempt.attempt,
-                                 {.outcome = outcome, .elapsed = elapsed, .call_ended = true}));
+  execute(dispatcher_.report_attempt_ended(clock_(), id, attempt.server, attempt.attempt,
+                                           {.outcome = outcome, .elapsed = elapsed, .call_ended = true}));
 }
 
 void CallTable::close_by_client(CallId id, Cause cause) {
@@ -73,36 +73,38 @@
     abandon(id);
     return;
   }
-  const auto attempt = attempt_of(id, *call);
-  const Duration elapsed = clock_() - call->sent;
+  const auto attempt = latest_attempt(id, *call);
+  const Duration elapsed = clock_() - call->sent_at;
   ++counters_.released;
   forget(id);
-  if (auto* to = port(attempt.server)) to->release(attempt, cause);
-  execute(dispatcher_.report_end(clock_(), id, attempt.server, attempt.attempt,
-                                 {.outcome = Outcome::kOk, .elapsed = elapsed, .call_ended = true}));
+  if (auto* upstream_pool = server_port(attempt.server)) upstream_pool->release(attempt, cause);
+  execute(
+      dispatcher_.report_attempt_ended(clock_(), id, attempt.server, attempt.attempt,
+                                       {.outcome = Outcome::kOk, .elapsed = elapsed, .call_ended = true}));
 }
 
-// SIGKILL may come sooner than the callers of these calls stop waiting: without an earlier end they would
-// never be answered. The module keeps the caller's own deadline, since only this process's time is short.
+// SIGKILL may arrive before the deadlines of these calls. Without an earlier deadline here, their callers
+// would never be answered. The module keeps the original deadlines, because only this process's time is
+// limited.
 void CallTable::begin_shutdown(const GracefulShutdown& plan) {
   shutdown_ = plan;
-  const Instant latest = plan.answer_by - kAnswerMargin;
+  const Instant latest_expiry = plan.answer_by - kAnswerMargin;
   for (auto& [id, call] : calls_) {
-    if (!call.is_unanswered() || call.set_up.facts.expires <= latest) continue;
-    call.set_up.facts.expires = latest;
-    // An attempt in flight may have been given less time than that: its own limit stays.
-    if (call.timer_due > latest) set_timer(id, call, latest);
+    if (!call.is_unanswered() || call.set_up.facts.expires <= latest_expiry) continue;
+    call.set_up.facts.expires = latest_expiry;
+    // The timeout of an attempt in flight may be earlier than that and then remains armed.
+    if (call.timer_due_at > latest_expiry) set_timer(id, call, latest_expiry);
   }
 }
 
-// ---- from the servers' side -----------------------------------------------------------------------------
+// ---- events from servers --------------------------------------------------------------------------------
 
 bool CallTable::on_established(const AttemptRef& attempt, std::string_view description) {
   auto* call = find(attempt);
   if (call == nullptr || call->state != CallState::kInFlight) return false;
   wheel_.cancel(std::exchange(call->timer, 0));
   change_state(*call, CallState::kEstablished);
-  const Duration elapsed = clock_() - call->sent;
+  const Duration elapsed = clock_() - call->sent_at;
   if (!call->client->answer(attempt.call, description)) {
     fail_established(attempt, *call, elapsed);
     return false;
@@ -118,25 +120,27 @@
   ++counters_.of_class(call.set_up.facts.call_class).faulted;
   call.client->fail(attempt.call, Reason::kFieldRejected);
   forget(attempt.call);
-  execute(dispatcher_.report_end(clock_(), attempt.call, attempt.server, attempt.attempt,
-                                 {.outcome = Outcome::kError, .elapsed = elapsed, .call_ended = true}));
+  execute(
+      dispatcher_.report_attempt_ended(clock_(), attempt.call, attempt.server, attempt.attempt,
+                                       {.outcome = Outcome::kError, .elapsed = elapsed, .call_ended = true}));
 }
 
 void CallTable::on_attempt_ended(const AttemptRef& attempt, const AttemptEnd& end) {
   if (find(attempt) != nullptr) end_attempt(attempt.call, end);
 }
 
-void CallTable::abort_sent_before(ServerId server, Instant moment, const char* why) {
+void CallTable::abort_sent_before(ServerId server, Instant cutoff, const char* why) {
   std::vector<CallId> aborted;
   for (const auto& [id, call] : calls_) {
-    const bool is_there = call.state == CallState::kEstablished && call.server == server;
-    if (is_there && call.sent < moment) aborted.push_back(id);
+    const bool is_established_there = call.state == CallState::kEstablished && call.server == server;
+    if (is_established_there && call.sent_at < cutoff) aborted.push_back(id);
   }
-  if (!aborted.empty()) log_("cut " + std::to_string(aborted.size()) + " standing calls: " + why);
+  if (!aborted.empty())
+    log_("call table: aborted " + std::to_string(aborted.size()) + " established calls: " + why);
   for (const CallId id : aborted) {
     const auto* call = find(id);
     if (call == nullptr) continue;
-    if (auto* to = port(server)) to->forget(attempt_of(id, *call));
+    if (auto* upstream_pool = server_port(server)) upstream_pool->forget(latest_attempt(id, *call));
     end_attempt(id, {.outcome = Outcome::kReset, .cause = Cause::kTemporaryFailure});
   }
 }
@@ -153,16 +157,16 @@
 }
 
 void CallTable::on_endpoints_changed(bool is_whole_list, const std::vector<ServerFacts>& servers) {
-  execute(dispatcher_.report_servers(clock_(), is_whole_list, servers));
+  execute(dispatcher_.report_endpoints(clock_(), is_whole_list, servers));
 }
 
 void CallTable::on_gossip(std::uint32_t from, std::vector<std::uint8_t> bytes) {
-  execute(dispatcher_.report_peer(clock_(), from, std::move(bytes)));
+  execute(dispatcher_.report_peer_message(clock_(), from, std::move(bytes)));
 }
 
 bool CallTable::has_calls_at(ServerId server) const {
-  return std::any_of(calls_.begin(), calls_.end(), [server](const auto& item) {
-    return item.second.state != CallState::kQueued && item.second.server == server;
+  return std::any_of(calls_.begin(), calls_.end(), [server](const auto& entry) {
+    return entry.second.state != CallState::kQueued && entry.second.server == server;
   });
 }
 
@@ -173,22 +177,23 @@
   }
   for (const CallId id : established) {
     auto& call = calls_.at(id);
-    const auto attempt = attempt_of(id, call);
+    const auto attempt = latest_attempt(id, call);
     call.client->release(id, Cause::kTemporaryFailure);
-    if (auto* to = port(attempt.server)) to->release(attempt, Cause::kTemporaryFailure);
+    if (auto* upstream_pool = server_port(attempt.server))
+      upstream_pool->release(attempt, Cause::kTemporaryFailure);
     ++counters_.released;
     ++counters_.aborted;
     forget(id);
   }
 }
 
-// ---- decisions of the module ----------------------------------------------------------------------------
+// ---- execution of the module's decisions ----------------------------------------------------------------
 
 void CallTable::execute(Decisions decisions) {
   if (decisions_.execute(std::move(decisions))) arm_tick();
 }
 
-void CallTable::execute_one(const Decision& decision) {
+void CallTable::execute_decision(const Decision& decision) {
   const auto* call = find(decision.call);
   const bool is_queued = call != nullptr && call->state == CallState::kQueued;
   switch (decision.kind) {
@@ -206,18 +211,18 @@
       break;
     case Decision::Kind::kCheckHealth:
       ++counters_.health_checks;
-      if (auto* to = port(decision.server)) to->check_health(decision.server);
+      if (auto* upstream_pool = server_port(decision.server)) upstream_pool->check_health(decision.server);
       break;
     case Decision::Kind::kBroadcast:
       broadcast_(decision.bytes);
       break;
     case Decision::Kind::kLog:
-      log_("module: " + decision.text);
+      log_("decision module: " + decision.text);
       break;
   }
 }
 
-// A shutdown ends calls sooner than the module knows.
+// During a shutdown a call's deadline here is earlier than the one that the module knows.
 void CallTable::forward_unless_expired(const Decision& decision) {
   if (clock_() < calls_.at(decision.call).set_up.facts.expires) {
     forward(decision);
@@ -231,31 +236,31 @@
   change_state(call, CallState::kInFlight);
   call.server = decision.server;
   if (const auto* server = servers_.find(decision.server)) call.version = server->version;
-  call.sent = clock_();
+  call.sent_at = clock_();
   ++call.attempts;
   ++counters_.attempts;
   ++counters_.of_class(call.set_up.facts.call_class).relayed;
-  auto* to = port(decision.server);
-  if (to == nullptr) {
+  auto* upstream_pool = server_port(decision.server);
+  if (upstream_pool == nullptr) {
     end_attempt(decision.call, {.outcome = Outcome::kNotSent, .cause = Cause::kOutOfOrder});
     return;
   }
-  Duration wait = call.set_up.facts.expires - call.sent;
+  Duration wait = call.set_up.facts.expires - call.sent_at;
   if (decision.time > Duration::zero()) wait = std::min(wait, decision.time);
-  set_timer(decision.call, call, call.sent + wait);
-  to->set_up({.attempt = attempt_of(decision.call, call),
-              .id = call.set_up.id,
-              .call_class = call.set_up.call_class,
-              .number = call.set_up.number,
-              .description = call.set_up.description,
-              .wait = wait,
-              .message = call.set_up.message.get()});
+  set_timer(decision.call, call, call.sent_at + wait);
+  upstream_pool->set_up({.attempt = latest_attempt(decision.call, call),
+                         .id = call.set_up.id,
+                         .call_class = call.set_up.call_class,
+                         .number = call.set_up.number,
+                         .description = call.set_up.description,
+                         .wait = wait,
+                         .message = call.set_up.message.get()});
 }
 
 void CallTable::cancel(const Decision& decision) {
   const auto* call = find(decision.call);
   if (call == nullptr || call->state != CallState::kInFlight) return;
-  const auto attempt = attempt_of(decision.call, *call);
+  const auto attempt = latest_attempt(decision.call, *call);
   if (attempt.attempt != decision.attempt) return;
   const Outcome outcome = cancel_attempt(attempt, Outcome::kCancelled);
   end_attempt(decision.call, {.outcome = outcome, .cause = Cause::kNormal});
@@ -265,35 +270,35 @@
 
 void CallTable::end_attempt(CallId id, const AttemptEnd& end) {
   auto& call = calls_.at(id);
-  const auto attempt = attempt_of(id, call);
-  const auto facts = facts_of_end(call, end);
-  if (facts.call_ended) {
+  const auto attempt = latest_attempt(id, call);
+  const auto report = report_of_end(call, end);
+  if (report.call_ended) {
     release_to_client(id, call, end);
   } else {
-    counters_.count_attempt_end(facts.outcome, call.set_up.facts.call_class);
+    counters_.count_attempt_end(report.outcome, call.set_up.facts.call_class);
     change_state(call, CallState::kQueued);
   }
-  execute(dispatcher_.report_end(clock_(), id, attempt.server, attempt.attempt, facts));
+  execute(dispatcher_.report_attempt_ended(clock_(), id, attempt.server, attempt.attempt, report));
 }
 
-EndFacts CallTable::facts_of_end(Call& call, const AttemptEnd& end) const {
-  EndFacts facts{.outcome = end.outcome,
-                 .elapsed = clock_() - call.sent,
-                 .call_ended = call.state == CallState::kEstablished,
-                 .is_caller_fault = end.is_caller_fault,
-                 .load = end.load};
+AttemptReport CallTable::report_of_end(Call& call, const AttemptEnd& end) const {
+  AttemptReport report{.outcome = end.outcome,
+                       .elapsed = clock_() - call.sent_at,
+                       .call_ended = call.state == CallState::kEstablished,
+                       .is_caller_fault = end.is_caller_fault,
+                       .load = end.load};
   if (end.outcome == Outcome::kFull && !end.error && end.retry_after) {
-    // No call waits longer than the longest deadline: a server that asks for more must not be ejected for
-    // good.
-    facts.retry_after = std::min(*end.retry_after, dispatcher_.longest_deadline());
+    // No call waits longer than the longest deadline, and a server that asks for an excessive delay must not
+    // be ejected permanently.
+    report.retry_after = std::min(*end.retry_after, dispatcher_.longest_deadline());
   }
   if (end.error && call.state == CallState::kInFlight) {
     const auto verdict = call.placement.on_attempt_ended(call.version, *end.error, end.retry_after);
-    facts.outcome = verdict.outcome;
-    facts.is_caller_fault = verdict.is_caller_fault;
-    facts.excludes_versions = verdict.final_now ? kAllVersions : call.placement.excluded_versions();
+    report.outcome = verdict.outcome;
+    report.is_caller_fault = verdict.is_caller_fault;
+    report.excludes_versions = verdict.final_now ? kAllVersions : call.placement.excluded_versions();
   }
-  return facts;
+  return report;
 }
 
 void CallTable::release_to_client(CallId id, Call& call, const AttemptEnd& end) {
@@ -304,25 +309,25 @@
   forget(id);
 }
 
-Outcome CallTable::cancel_attempt(const AttemptRef& attempt, Outcome otherwise) {
-  auto* to = port(attempt.server);
-  if (to != nullptr && to->cancel(attempt)) return Outcome::kNotSent;
+Outcome CallTable::cancel_attempt(const AttemptRef& attempt, Outcome outcome_if_sent) {
+  auto* upstream_pool = server_port(attempt.server);
+  if (upstream_pool != nullptr && upstream_pool->cancel(attempt)) return Outcome::kNotSent;
   ++counters_.cancels;
-  return otherwise;
+  return outcome_if_sent;
 }
 
 void CallTable::send_final_answer(CallId id, Reason reason, Duration retry_after) {
   auto& call = calls_.at(id);
-  auto& counts = counters_.of_class(call.set_up.facts.call_class);
+  auto& class_counts = counters_.of_class(call.set_up.facts.call_class);
   const auto answer = final_answer(call.placement, servers_.supported_versions(), reason, retry_after,
                                    dispatcher_.settings().limits);
   if (answer.is_rejection()) {
     ++counters_.rejected;
-    ++counts.throttled;
+    ++class_counts.throttled;
     call.client->reject(id, answer.reason, answer.retry_after);
   } else {
     ++counters_.failed;
-    ++counts.faulted;
+    ++class_counts.faulted;
     call.client->fail(id, answer.reason);
   }
   forget(id);
@@ -352,7 +357,7 @@
 
 void CallTable::set_timer(CallId id, Call& call, Instant due) {
   wheel_.cancel(call.timer);
-  call.timer_due = due;
+  call.timer_due_at = due;
   call.timer = wheel_.at(due, [this, id] { on_timer(id); });
 }
 
@@ -363,34 +368,35 @@
   const bool is_expired = clock_() >= call->set_up.facts.expires;
   if (!is_expired) set_timer(id, *call, call->set_up.facts.expires);
   if (call->state == CallState::kInFlight) {
-    const Outcome outcome = cancel_attempt(attempt_of(id, *call), Outcome::kTimeout);
+    const Outcome outcome = cancel_attempt(latest_attempt(id, *call), Outcome::kTimeout);
     end_attempt(id, {.outcome = outcome, .cause = Cause::kTimerExpiry});
   } else {
     execute(dispatcher_.tick(clock_()));
   }
-  // Guards the rule of one final answer in time: whatever is still queued now is rejected.
-  const auto* still = find(id);
-  if (is_expired && still != nullptr && still->state == CallState::kQueued) reject_expired(id);
+  // Ensures one final answer by the deadline: a call that is still queued now is rejected.
+  const auto* remaining_call = find(id);
+  if (is_expired && remaining_call != nullptr && remaining_call->state == CallState::kQueued)
+    reject_expired(id);
 }
 
 void CallTable::arm_tick() {
-  const auto next = dispatcher_.next_tick();
-  if (!next || (tick_ != 0 && tick_at_ && *tick_at_ <= *next)) return;
-  wheel_.cancel(tick_);
-  tick_at_ = next;
-  tick_ = wheel_.at(*next, [this] {
-    tick_ = 0;
+  const auto next_due = dispatcher_.next_tick();
+  if (!next_due || (tick_timer_ != 0 && tick_due_at_ && *tick_due_at_ <= *next_due)) return;
+  wheel_.cancel(tick_timer_);
+  tick_due_at_ = next_due;
+  tick_timer_ = wheel_.at(*next_due, [this] {
+    tick_timer_ = 0;
     execute(dispatcher_.tick(clock_()));
   });
 }
 
-// ---- look-ups -------------------------------------------------------------------------------------------
+// ---- state changes and look-ups -------------------------------------------------------------------------
 
-void CallTable::change_state(Call& call, CallState next) {
-  assert(is_transition(call.state, next));
+void CallTable::change_state(Call& call, CallState next_state) {
+  assert(is_transition(call.state, next_state));
   if (call.state == CallState::kEstablished) --established_;
-  if (next == CallState::kEstablished) ++established_;
-  call.state = next;
+  if (next_state == CallState::kEstablished) ++established_;
+  call.state = next_state;
 }
 
 Call* CallTable::find(CallId id) {
@@ -406,7 +412,7 @@
   return has_attempt && is_this_one ? call : nullptr;
 }
 
-ServerPort* CallTable::port(ServerId server) {
+ServerPort* CallTable::server_port(ServerId server) {
   auto* entry = servers_.find(server);
   return entry != nullptr ? entry->port : nullptr;
 }
--- a/src/core/call_table.hpp
+++ b/src/core/call_table.hpp
@@ -1,6 +1,6 @@
-// All calls of the process, from set-up to release (states and transitions: core/call.hpp). Frontends and
-// upstream pools report here; the module's decisions are carried out from here. One thread, that of the event
-// loop; no I/O but through the ports.
+// All calls of the process, from set-up to release; core/call.hpp describes their states and transitions.
+// Frontends and upstream pools report events here, and the decisions of the decision module are carried out
+// here. Used only on the event loop's thread; does I/O only through the ports.
 #pragma once
 
 #include <cstdint>
@@ -23,6 +23,7 @@
 
 namespace amberknot::core {
 
+/// Holds all calls, passes events to the decision module and carries out its decisions.
 class CallTable {
  public:
   using Clock = std::function<Instant()>;
@@ -32,80 +33,93 @@
   CallTable(Dispatcher& dispatcher, EndpointRegistry& servers, TimerWheel& wheel, Counters& counters,
             Clock clock);
 
-  /// Where the module's messages to its peers and its log lines go.
+  /// Sets where the module's messages to its peers and its log lines go.
   void connect(BroadcastSink broadcast, LogSink log);
 
-  // From the callers' side.
-  /// Enters a call. The frontend notes its id and then has it routed.
+  // Events from callers.
+  /// Adds a call. The frontend stores its id before it calls route().
   CallId admit(ClientPort& client, NewSetUp set_up);
+  /// Passes a new call to the decision module, which forwards, queues or rejects it.
   void route(CallId call);
-  /// Its caller waits no longer. Of no effect once the call is established.
+  /// Ends a call whose caller no longer waits for it. Has no effect once the call is established.
   void abandon(CallId call);
-  /// Before the answer the set-up is abandoned, after it the call is released.
+  /// Ends a call on its caller's request: abandons the set-up before the answer, releases the call after it.
   void close_by_client(CallId call, Cause cause);
-  /// The process is shutting down: every unanswered call, queued, in flight or still to come, gets its final
-  /// answer by `plan.answer_by`, whatever its own deadline. Established calls are not touched.
+  /// Starts the shutdown: every unanswered call, whether queued, in flight or yet to arrive, gets its final
+  /// answer by `plan.answer_by`, even if its own deadline is later. Established calls are not affected.
   void begin_shutdown(const GracefulShutdown& plan);
 
-  // From the servers' side.
-  /// False: the attempt is over, so the answer is to be acknowledged and released.
+  // Events from servers.
+  /// Handles a server's acceptance of a call. Returns false if the attempt is over; the upstream pool then
+  /// has to acknowledge the answer and release the call at the server.
   bool on_established(const AttemptRef& attempt, std::string_view description);
+  /// Handles the end of an attempt; ignored if the attempt is already over.
   void on_attempt_ended(const AttemptRef& attempt, const AttemptEnd& end);
+  /// Handles the result of a health check, with the load that the server reported.
   void on_health_check_result(ServerId server, Outcome outcome, Duration elapsed, const LoadReport& load);
+  /// Handles a load report that a server sent without a health check.
   void on_load_report(ServerId server, const LoadReport& load);
-  /// Ends all established calls at a server whose process is known to have died.
+  /// Ends all established calls at a server whose process is known to have died; `why` is logged.
   void abort_all(ServerId server, const char* why) { abort_sent_before(server, Instant::max(), why); }
-  /// Of these, the ones forwarded before that moment.
-  void abort_sent_before(ServerId server, Instant moment, const char* why);
+  /// Ends those established calls at such a server that were forwarded before `cutoff`; `why` is logged.
+  void abort_sent_before(ServerId server, Instant cutoff, const char* why);
 
-  // From service discovery and the peers.
+  // Events from service discovery and peers.
+  /// Handles new entries of the endpoint list; `is_whole_list` says that servers missing from it are gone.
   void on_endpoints_changed(bool is_whole_list, const std::vector<ServerFacts>& servers);
+  /// Handles a message from the peer of that number.
   void on_gossip(std::uint32_t from, std::vector<std::uint8_t> bytes);
 
+  /// Number of calls that are not established.
   [[nodiscard]] std::size_t unanswered() const { return calls_.size() - established_; }
+  /// Number of established calls.
   [[nodiscard]] std::size_t established() const { return established_; }
-  /// Whether a call is in flight to that server or established there.
+  /// Returns whether any call is in flight to that server or established there.
   [[nodiscard]] bool has_calls_at(ServerId server) const;
-  /// Releases all established calls towards both sides: the process ends.
+  /// Releases all established calls towards callers and servers because the process exits.
   void release_all();
 
  private:
-  // Decisions of the module.
+  // Execution of the module's decisions.
   void execute(Decisions decisions);
-  void execute_one(const Decision& decision);
+  void execute_decision(const Decision& decision);
   void forward_unless_expired(const Decision& decision);
   void forward(const Decision& decision);
   void cancel(const Decision& decision);
 
   // Ends of attempts and calls.
   void end_attempt(CallId id, const AttemptEnd& end);
-  [[nodiscard]] EndFacts facts_of_end(Call& call, const AttemptEnd& end) const;
+  [[nodiscard]] AttemptReport report_of_end(Call& call, const AttemptEnd& end) const;
   void release_to_client(CallId id, Call& call, const AttemptEnd& end);
-  /// The server's answer does not fit the caller's protocol: the call fails, and is released at the server.
+  /// Fails a call because the caller's protocol cannot carry the server's answer; it is then released at the
+  /// server.
   void fail_established(const AttemptRef& attempt, Call& call, Duration elapsed);
-  /// Cancels an attempt in flight towards its server. The outcome is `otherwise`, or `kNotSent` where nothing
-  /// of it had left: then it never ran, and no pause is owed before the next.
-  Outcome cancel_attempt(const AttemptRef& attempt, Outcome otherwise);
-  /// The one final answer of a queued call; `reason` and `retry_after` as in final_answer().
+  /// Cancels an attempt in flight at its server. Returns `kNotSent` if nothing of it had been written: the
+  /// server never executed it, so that no pause is needed before the next attempt. Otherwise returns
+  /// `outcome_if_sent`.
+  Outcome cancel_attempt(const AttemptRef& attempt, Outcome outcome_if_sent);
+  /// Sends the only final answer of a queued call; `reason` and `retry_after` as in final_answer().
   void send_final_answer(CallId id, Reason reason, Duration retry_after);
-  /// The final answer of a queued call whose time is over: rejected, and the module forgets it.
+  /// Rejects a queued call whose deadline has passed and tells the module to drop it.
   void reject_expired(CallId id);
-  /// How long callers rejected by a shutdown should stay away: until this process has exited.
+  /// Returns the retry delay for callers that are rejected during a shutdown: the time until this process
+  /// exits.
   [[nodiscard]] Duration shutdown_retry_after() const;
   void forget(CallId id);
 
   // Timers.
   void set_timer(CallId id, Call& call, Instant due);
   void on_timer(CallId id);
-  /// The module's next tick.
+  /// Arms the timer for the module's next tick.
   void arm_tick();
 
-  void change_state(Call& call, CallState next);
+  /// Applies a transition of core/call.hpp.
+  void change_state(Call& call, CallState next_state);
   [[nodiscard]] Call* find(CallId id);
-  /// The call whose attempt is in flight or established as named; null once that is over.
+  /// Returns the call of which that attempt is in flight or established, or null if the attempt is over.
   [[nodiscard]] Call* find(const AttemptRef& attempt);
-  [[nodiscard]] ServerPort* port(ServerId server);
-  [[nodiscard]] AttemptRef attempt_of(CallId id, const Call& call) const {
+  [[nodiscard]] ServerPort* server_port(ServerId server);
+  [[nodiscard]] AttemptRef latest_attempt(CallId id, const Call& call) const {
     return {.call = id, .attempt = call.attempts - 1, .server = call.server};
   }
 
@@ -120,9 +134,9 @@
   std::unordered_map<CallId, Call> calls_;
   std::size_t established_ = 0;
   std::uint32_t next_id_ = 0;
-  std::optional<GracefulShutdown> shutdown_;  ///< absent: not shutting down
-  TimerWheel::Handle tick_ = 0;
-  std::optional<Instant> tick_at_;
+  std::optional<GracefulShutdown> shutdown_;  ///< empty unless the process is shutting down
+  TimerWheel::Handle tick_timer_ = 0;
+  std::optional<Instant> tick_due_at_;
 };
 
 }  // namespace amberknot::core
--- a/src/core/counters.cpp
+++ b/src/core/counters.cpp
@@ -17,9 +17,9 @@
       << " second_answers=" << second_answers << "; answered: stood=" << established
       << " refused=" << rejected << " failed=" << failed << " released=" << released
       << " unheard=" << undelivered_answers << " cut=" << aborted << "; attempts ended:";
-  static constexpr const char* kNames[] = {"ok",    "error",     "full", "timeout", "connect_failed",
-                                           "reset", "cancelled", "moot"};
-  for (std::size_t i = 0; i < kOutcomes; ++i) out << ' ' << kNames[i] << '=' << attempt_ends[i];
+  static constexpr const char* kOutcomeNames[] = {"ok",    "error",     "full", "timeout", "connect_failed",
+                                                  "reset", "cancelled", "moot"};
+  for (std::size_t i = 0; i < kOutcomeCount; ++i) out << ' ' << kOutcomeNames[i] << '=' << attempt_ends[i];
 }
 
 }  // namespace amberknot::core
--- a/src/core/decision_queue.hpp
+++ b/src/core/decision_queue.hpp
@@ -1,4 +1,4 @@
-// The module's decisions, in the order in which they were made. No I/O.
+// A queue that executes the module's decisions in the order in which they were made. Does no I/O itself.
 #pragma once
 
 #include <deque>
@@ -9,16 +9,17 @@
 
 namespace amberknot::core {
 
-/// Carries decisions out one after the other. Carrying one out may lead to more: those are appended and never
-/// nested, so that each decision finds the calls as the ones before it left them.
+/// Executes decisions one after the other. Decisions that result from executing one are appended instead of
+/// being executed recursively, so that each decision sees the calls in the state that all earlier decisions
+/// left.
 class DecisionQueue {
  public:
   using Handler = std::function<void(Decision&)>;
 
   explicit DecisionQueue(Handler handler) : handler_(std::move(handler)) {}
 
-  /// Appends the decisions and carries out all that are queued. From inside the handler it only appends.
-  /// True: the queue was emptied by this call.
+  /// Appends the decisions and executes all queued ones. If called by the handler, it only appends. Returns
+  /// whether this call has emptied the queue.
   bool execute(Decisions decisions);
 
  private:
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -8,43 +8,46 @@
 namespace amberknot::core {
 namespace {
 
-/// A call with no first choice names a pool that no server is in.
+/// The destination of a call without a preferred pool: no server is in this pool.
 constexpr PoolId kNoPool{std::numeric_limits<std::uint32_t>::max()};
 
-struct Translate {
-  Decision& to;
-  void operator()(ForwardCall& one) const {
-    to.kind = Decision::Kind::kForward;
-    to.call = one.call;
-    to.server = one.server;
-    to.time = one.attempt_timeout;
+/// Converts an action of the module into a decision.
+struct DecisionWriter {
+  Decision& decision;
+  void operator()(ForwardCall& action) const {
+    decision.kind = Decision::Kind::kForward;
+    decision.call = action.call;
+    decision.server = action.server;
+    decision.time = action.attempt_timeout;
   }
-  void operator()(RejectCall& one) const {
-    to.kind = Decision::Kind::kReject;
-    to.call = one.call;
-    to.time = one.retry_after;
+  void operator()(RejectCall& action) const {
+    decision.kind = Decision::Kind::kReject;
+    decision.call = action.call;
+    decision.time = action.retry_after;
   }
-  void operator()(FailCall& one) const {
-    to.kind = Decision::Kind::kFail;
-    to.call = one.call;
+  void operator()(FailCall& action) const {
+    decision.kind = Decision::Kind::kFail;
+    decision.call = action.call;
   }
-  void operator()(CancelAttempt& one) const {
-    to.kind = Decision::Kind::kCancel;
-    to.call = one.call;
-    to.attempt = one.attempt;
+  void operator()(CancelAttempt& action) const {
+    decision.kind = Decision::Kind::kCancel;
+    decision.call = action.call;
+    decision.attempt = action.attempt;
   }
-  void operator()(CheckHealth& one) const {
-    to.kind = Decision::Kind::kCheckHealth;
-    to.server = one.server;
+  void operator()(CheckHealth& action) const {
+    decision.kind = Decision::Kind::kCheckHealth;
+    decision.server = action.server;
   }
-  void operator()(BroadcastGossip& one) const {
-    to.kind = Decision::Kind::kBroadcast;
-    to.bytes = std::move(one.bytes);
+  void operator()(BroadcastGossip& action) const {
+    decision.kind = Decision::Kind::kBroadcast;
+    decision.bytes = std::move(action.bytes);
   }
-  void operator()(LogMessage& one) const { to.text = std::move(one.text); }
-  // The list is always pushed to a router on sockets.
-  void operator()(WatchEndpoints& /*one*/) const { to.text = "the module asked to watch the list"; }
-  void operator()(SetTimer& /*one*/) const {}
+  void operator()(LogMessage& action) const { decision.text = std::move(action.text); }
+  // A router on sockets is always sent updates of the endpoint list, so it has nothing to subscribe to.
+  void operator()(WatchEndpoints& /*action*/) const {
+    decision.text = "asked to watch the endpoint list; no action needed, updates are pushed";
+  }
+  void operator()(SetTimer& /*action*/) const {}
 };
 
 }  // namespace
@@ -52,94 +55,94 @@
 Dispatcher::Dispatcher(Settings settings, Instant now) : settings_(settings), admission_(settings) {
   std::vector<Action> actions;
   admission_.start(now, actions);
-  gather(actions, at_start_);
+  collect(actions, start_decisions_);
 }
 
-void Dispatcher::gather(std::vector<Action>& actions, Decisions& decisions) {
+void Dispatcher::collect(std::vector<Action>& actions, Decisions& decisions) {
   for (auto& action : actions) {
     if (const auto* timer = std::get_if<SetTimer>(&action)) {
-      due_.push({timer->when, timer->handle});
+      pending_timers_.push({timer->when, timer->handle});
       continue;
     }
-    std::visit(Translate{decisions.emplace_back()}, action);
+    std::visit(DecisionWriter{decisions.emplace_back()}, action);
   }
 }
 
-Decisions Dispatcher::run(Instant now, const Event& event) {
+Decisions Dispatcher::handle_event(Instant now, const Event& event) {
   std::vector<Action> actions;
   admission_.handle(now, event, actions);
-  Decisions decisions = std::exchange(at_start_, {});
-  gather(actions, decisions);
+  Decisions decisions = std::exchange(start_decisions_, {});
+  collect(actions, decisions);
   return decisions;
 }
 
-Decisions Dispatcher::pick(Instant now, CallId call, const CallFacts& facts) {
-  NewCall news;
-  news.call = call;
-  news.expires = facts.expires;
-  news.destination = facts.first_choice.value_or(kNoPool);
-  news.width = facts.width;
-  news.call_class = facts.call_class;
-  news.tenant = facts.tenant;
-  news.was_aborted = facts.was_aborted;
-  news.excluded_versions = facts.excluded_versions;
-  return run(now, news);
+Decisions Dispatcher::report_new_call(Instant now, CallId call, const CallRequest& request) {
+  NewCall event;
+  event.call = call;
+  event.expires = request.expires;
+  event.destination = request.first_choice.value_or(kNoPool);
+  event.width = request.width;
+  event.call_class = request.call_class;
+  event.tenant = request.tenant;
+  event.was_aborted = request.was_aborted;
+  event.excluded_versions = request.excluded_versions;
+  return handle_event(now, event);
 }
 
 Decisions Dispatcher::report_established(Instant now, CallId call, ServerId server, std::uint32_t attempt,
                                          Duration elapsed) {
-  return run(now, Established{call, server, attempt, elapsed});
+  return handle_event(now, Established{call, server, attempt, elapsed});
 }
 
-Decisions Dispatcher::report_end(Instant now, CallId call, ServerId server, std::uint32_t attempt,
-                                 const EndFacts& facts) {
-  AttemptEnded news;
-  news.call = call;
-  news.server = server;
-  news.attempt = attempt;
-  news.outcome = facts.outcome;
-  news.elapsed = facts.elapsed;
-  news.call_ended = facts.call_ended;
-  news.is_caller_fault = facts.is_caller_fault;
-  news.excludes_versions = facts.excludes_versions;
-  news.retry_after = facts.retry_after;
-  news.report = facts.load;
-  return run(now, news);
+Decisions Dispatcher::report_attempt_ended(Instant now, CallId call, ServerId server, std::uint32_t attempt,
+                                           const AttemptReport& report) {
+  AttemptEnded event;
+  event.call = call;
+  event.server = server;
+  event.attempt = attempt;
+  event.outcome = report.outcome;
+  event.elapsed = report.elapsed;
+  event.call_ended = report.call_ended;
+  event.is_caller_fault = report.is_caller_fault;
+  event.excludes_versions = report.excludes_versions;
+  event.retry_after = report.retry_after;
+  event.report = report.load;
+  return handle_event(now, event);
 }
 
 Decisions Dispatcher::report_abandoned(Instant now, CallId call) {
-  return run(now, CallAbandoned{call});
+  return handle_event(now, CallAbandoned{call});
 }
 
 Decisions Dispatcher::report_health_check(Instant now, ServerId server, Outcome outcome, Duration elapsed,
                                           const LoadReport& load) {
-  return run(now, HealthCheckResult{server, outcome, false, elapsed, load});
+  return handle_event(now, HealthCheckResult{server, outcome, false, elapsed, load});
 }
 
 Decisions Dispatcher::report_load(Instant now, ServerId server, const LoadReport& load) {
-  return run(now, HealthCheckResult{server, Outcome::kOk, true, Duration::zero(), load});
+  return handle_event(now, HealthCheckResult{server, Outcome::kOk, true, Duration::zero(), load});
 }
 
-Decisions Dispatcher::report_servers(Instant now, bool is_whole_list,
-                                     const std::vector<ServerFacts>& servers) {
-  EndpointUpdate news{is_whole_list ? EndpointUpdateScope::kFull : EndpointUpdateScope::kDelta, {}};
-  for (const auto& one : servers)
-    news.entries.push_back({one.server, one.pool, one.state, one.started, one.version});
-  return run(now, news);
+Decisions Dispatcher::report_endpoints(Instant now, bool is_whole_list,
+                                       const std::vector<ServerFacts>& servers) {
+  EndpointUpdate event{is_whole_list ? EndpointUpdateScope::kFull : EndpointUpdateScope::kDelta, {}};
+  for (const auto& server : servers)
+    event.entries.push_back({server.server, server.pool, server.state, server.started, server.version});
+  return handle_event(now, event);
 }
 
-Decisions Dispatcher::report_peer(Instant now, std::uint32_t from, std::vector<std::uint8_t> bytes) {
-  return run(now, PeerMessage{PeerId{from}, std::move(bytes)});
+Decisions Dispatcher::report_peer_message(Instant now, std::uint32_t from, std::vector<std::uint8_t> bytes) {
+  return handle_event(now, PeerMessage{PeerId{from}, std::move(bytes)});
 }
 
 Decisions Dispatcher::tick(Instant now) {
   Decisions decisions;
-  while (!due_.empty() && due_.top().when <= now) {
-    const auto handle = due_.top().handle;
-    due_.pop();
-    auto more = run(now, TimerExpired{handle});
-    decisions.insert(decisions.end(), std::make_move_iterator(more.begin()),
-                     std::make_move_iterator(more.end()));
+  while (!pending_timers_.empty() && pending_timers_.top().when <= now) {
+    const auto handle = pending_timers_.top().handle;
+    pending_timers_.pop();
+    auto timer_decisions = handle_event(now, TimerExpired{handle});
+    decisions.insert(decisions.end(), std::make_move_iterator(timer_decisions.begin()),
+                     std::make_move_iterator(timer_decisions.end()));
   }
   return decisions;
 }
@@ -151,8 +154,8 @@
 }
 
 std::optional<Instant> Dispatcher::next_tick() const {
-  if (due_.empty()) return std::nullopt;
-  return due_.top().when;
+  if (pending_timers_.empty()) return std::nullopt;
+  return pending_timers_.top().when;
 }
 
 }  // namespace amberknot::core
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -1,5 +1,6 @@
-// The decision module in blocking style: report what happened, get back what to do. Its events, actions and
-// timers are seen here and nowhere else. No I/O; time comes in as an argument.
+// A synchronous interface to the decision module: the caller reports an event and gets back the decisions
+// that follow. The module's own events, actions and timers are hidden behind it. Does no I/O; the time is an
+// argument.
 #pragma once
 
 #include <cstdint>
@@ -12,76 +13,88 @@
 
 namespace amberknot::core {
 
-/// What the module wants done, in the order in which it decided.
+/// One thing that the module wants done. The fields used depend on the kind.
 struct Decision {
   enum class Kind { kForward, kReject, kFail, kCancel, kCheckHealth, kBroadcast, kLog };
   Kind kind = Kind::kLog;
   CallId call{};
   ServerId server{};
   std::uint32_t attempt = 0;
-  Duration time{};  ///< kForward: the attempt's timeout, zero: the caller's; kReject: Retry-After
-  std::vector<std::uint8_t> bytes;  ///< kBroadcast
-  std::string text;                 ///< kLog
+  /// kForward: timeout of the attempt, zero for the caller's deadline. kReject: Retry-After.
+  Duration time{};
+  std::vector<std::uint8_t> bytes;  ///< kBroadcast: message to all peers
+  std::string text;                 ///< kLog: log line
 };
+/// Decisions in the order in which they were made.
 using Decisions = std::vector<Decision>;
 
-/// What a call asks for, as its frontend read it.
-struct CallFacts {
-  Instant expires{};
-  std::optional<PoolId> first_choice;
-  double width = 1;
+/// What a call asks for, as parsed by its frontend.
+struct CallRequest {
+  Instant expires{};                   ///< when the caller stops waiting
+  std::optional<PoolId> first_choice;  ///< preferred pool; empty if the caller named none
+  double width = 1;                    ///< number of lines that the call occupies
   std::size_t call_class = 0;
   std::size_t tenant = 0;
-  bool was_aborted = false;
+  bool was_aborted = false;  ///< the caller repeats a call that was aborted
   ProtocolVersionSet excluded_versions = 0;
 };
 
-/// How an attempt ended, as the module is to hear it.
-struct EndFacts {
+/// How an attempt ended, as reported to the decision module.
+struct AttemptReport {
   Outcome outcome = Outcome::kOk;
   Duration elapsed{};
   bool call_ended = false;
   bool is_caller_fault = false;
   ProtocolVersionSet excludes_versions = 0;
   LoadReport load = {};
-  std::optional<Duration> retry_after = {};  ///< asked by an overloaded server of all senders
+  std::optional<Duration> retry_after = {};  ///< delay that an overloaded server requests from all senders
 };
 
-/// A server as the module is to see it.
+/// A server as reported to the decision module.
 struct ServerFacts {
   ServerId server{};
   PoolId pool{};
   EndpointState state = EndpointState::kReady;
-  std::optional<Instant> started;
+  std::optional<Instant> started;  ///< empty if it started long ago
   ProtocolVersion version{};
 };
 
+/// Reports events to the decision module and returns its decisions. Also keeps the module's timers, which
+/// fire in tick().
 class Dispatcher {
  public:
   Dispatcher(Settings settings, Instant now);
 
-  /// A new call: it is forwarded, queued or rejected.
-  Decisions pick(Instant now, CallId call, const CallFacts& facts);
+  /// Reports a new call, which is forwarded, queued or rejected.
+  Decisions report_new_call(Instant now, CallId call, const CallRequest& request);
 
+  /// Reports that an attempt was answered and its call established.
   Decisions report_established(Instant now, CallId call, ServerId server, std::uint32_t attempt,
                                Duration elapsed);
-  Decisions report_end(Instant now, CallId call, ServerId server, std::uint32_t attempt,
-                       const EndFacts& facts);
+  /// Reports the end of an attempt, before or after its call was established.
+  Decisions report_attempt_ended(Instant now, CallId call, ServerId server, std::uint32_t attempt,
+                                 const AttemptReport& report);
+  /// Reports that a call was abandoned by its caller or has expired, so that the module drops it.
   Decisions report_abandoned(Instant now, CallId call);
+  /// Reports the result of a health check that the module asked for.
   Decisions report_health_check(Instant now, ServerId server, Outcome outcome, Duration elapsed,
                                 const LoadReport& load);
+  /// Reports the load of a server that sent it without a health check.
   Decisions report_load(Instant now, ServerId server, const LoadReport& load);
-  Decisions report_servers(Instant now, bool is_whole_list, const std::vector<ServerFacts>& servers);
-  Decisions report_peer(Instant now, std::uint32_t from, std::vector<std::uint8_t> bytes);
+  /// Reports the endpoint list, or the changed entries only if `is_whole_list` is false.
+  Decisions report_endpoints(Instant now, bool is_whole_list, const std::vector<ServerFacts>& servers);
+  /// Reports a message from the peer of that number.
+  Decisions report_peer_message(Instant now, std::uint32_t from, std::vector<std::uint8_t> bytes);
 
+  /// Fires the module's timers that are due.
   Decisions tick(Instant now);
-  /// When tick() has something to do next; empty: nothing is due.
+  /// Returns when tick() has to be called next, or nothing if no timer is set.
   [[nodiscard]] std::optional<Instant> next_tick() const;
 
   [[nodiscard]] const Settings& settings() const { return settings_; }
-  /// The longest deadline of any class of call: no call waits longer.
+  /// Returns the longest deadline of any class of call. No call waits longer.
   [[nodiscard]] Duration longest_deadline() const;
-  /// Classes and limits of new settings; see Admission::retune.
+  /// Applies the classes and limits of new settings; see Admission::apply_reload.
   void apply_reload(const std::vector<CallClass>& classes, const Limits& limits) {
     admission_.apply_reload(classes, limits);
     settings_.classes = classes;
@@ -89,18 +102,18 @@
   }
 
  private:
-  struct Due {
+  struct PendingTimer {
     Instant when;
     TimerHandle handle;
-    bool operator>(const Due& other) const { return when > other.when; }
+    bool operator>(const PendingTimer& other) const { return when > other.when; }
   };
-  void gather(std::vector<Action>& actions, Decisions& decisions);
-  Decisions run(Instant now, const Event& event);
+  void collect(std::vector<Action>& actions, Decisions& decisions);
+  Decisions handle_event(Instant now, const Event& event);
 
   Settings settings_;
   Admission admission_;
-  Decisions at_start_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  Decisions start_decisions_;
+  std::priority_queue<PendingTimer, std::vector<PendingTimer>, std::greater<>> pending_timers_;
 };
 
 }  // namespace amberknot::core
--- a/src/core/endpoint_registry.cpp
+++ b/src/core/endpoint_registry.cpp
@@ -5,12 +5,12 @@
 namespace amberknot::core {
 
 Endpoint& EndpointRegistry::of(std::string_view name) {
-  if (const auto found = by_name_.find(name); found != by_name_.end()) return *find(found->second);
+  if (const auto found = ids_by_name_.find(name); found != ids_by_name_.end()) return *find(found->second);
   const ServerId id{next_id_++};
   auto& server = servers_[id];
   server.id = id;
   server.name = name;
-  by_name_.emplace(server.name, id);
+  ids_by_name_.emplace(server.name, id);
   return server;
 }
 
@@ -25,8 +25,8 @@
 }
 
 const Endpoint* EndpointRegistry::find(std::string_view name) const {
-  const auto found = by_name_.find(name);
-  return found != by_name_.end() ? find(found->second) : nullptr;
+  const auto found = ids_by_name_.find(name);
+  return found != ids_by_name_.end() ? find(found->second) : nullptr;
 }
 
 ProtocolVersionSet EndpointRegistry::supported_versions() const {
@@ -40,7 +40,7 @@
 void EndpointRegistry::forget(ServerId id) {
   const auto found = servers_.find(id);
   if (found == servers_.end()) return;
-  by_name_.erase(found->second.name);
+  ids_by_name_.erase(found->second.name);
   servers_.erase(found);
 }
 
--- a/src/core/endpoint_registry.hpp
+++ b/src/core/endpoint_registry.hpp
@@ -1,5 +1,5 @@
-// The registry of session servers, by name: an address may pass from a server that was removed to a new one.
-// No I/O and no clock; the event loop's thread only.
+// The registry of session servers. Servers are identified by name, because a new server may take over the
+// address of one that was removed. Does no I/O and reads no clock; used only on the event loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -13,47 +13,48 @@
 
 namespace amberknot::core {
 
-/// One session server as service discovery last described it.
+/// A session server, as last described by service discovery.
 struct Endpoint {
   ServerId id{};
   std::string name;
   std::string address;  ///< host:port
   PoolId pool{};
   EndpointState state = EndpointState::kReady;
-  std::int64_t started_unix_ms = 0;   ///< zero: long ago
-  std::optional<Instant> started;     ///< the same on the monotonic clock, read once for each start
-  UpstreamPool* port = nullptr;       ///< the upstream pool that leads there; null: none assigned yet
-  ProtocolVersion version{};          ///< the protocol it supports
-  std::optional<Instant> removed_at;  ///< set while its state is kRemoved
+  std::int64_t started_unix_ms = 0;   ///< zero if it started long ago
+  std::optional<Instant> started;     ///< start on the monotonic clock, converted once per start
+  UpstreamPool* port = nullptr;       ///< upstream pool that connects to it; null until assigned
+  ProtocolVersion version{};          ///< protocol version that it supports
+  std::optional<Instant> removed_at;  ///< set only in the state kRemoved
 };
 
-/// One entry of an endpoint update.
+/// One changed server in an endpoint update.
 struct EndpointChange {
   std::string name;
   std::string address;  ///< host:port
   std::uint32_t pool = 0;
   EndpointState state = EndpointState::kReady;
-  std::int64_t started_unix_ms = 0;  ///< zero: long ago
+  std::int64_t started_unix_ms = 0;  ///< zero if it started long ago
 };
 
+/// Maps names and ids of session servers to their entries.
 class EndpointRegistry {
  public:
-  /// The entry of that name, made on first use. Ids are never used again.
+  /// Returns the entry of that name, which is created on first use. Ids are never reused.
   Endpoint& of(std::string_view name);
-  /// Null where it is not registered.
+  /// Returns the entry of that server, or null if it is not registered.
   [[nodiscard]] Endpoint* find(ServerId id);
   [[nodiscard]] const Endpoint* find(std::string_view name) const;
   [[nodiscard]] const Endpoint* find(ServerId id) const;
   [[nodiscard]] const std::map<ServerId, Endpoint>& all() const { return servers_; }
-  /// The protocol versions of all servers that have not been removed.
+  /// Returns the protocol versions of all servers that have not been removed.
   [[nodiscard]] ProtocolVersionSet supported_versions() const;
-  /// Deletes the entry, to which nothing may refer any more. Its name, if it returns, gets another id.
+  /// Deletes an entry to which nothing refers any more. If its name is registered again, it gets a new id.
   void forget(ServerId id);
 
  private:
   std::map<ServerId, Endpoint> servers_;
   std::uint32_t next_id_ = 0;
-  std::map<std::string, ServerId, std::less<>> by_name_;
+  std::map<std::string, ServerId, std::less<>> ids_by_name_;
 };
 
 }  // namespace amberknot::core
--- a/src/core/final_answer.hpp
+++ b/src/core/final_answer.hpp
@@ -1,5 +1,5 @@
-// The one final answer of a call that is not established: which reason its caller is given, and when to
-// retry. A pure function over what the call has met. No I/O and no clock.
+// Determines the final answer of a call that is not established: the reason its caller is given, and when to
+// retry. A pure function of the call's attempts; does no I/O and reads no clock.
 #pragma once
 
 #include "amberknot/admission.hpp"
@@ -8,17 +8,18 @@
 
 namespace amberknot::core {
 
-/// A rejection or a failure, as `facts_of(reason)` says.
+/// The final answer of a call; `facts_of(reason)` says whether it is a rejection or a failure.
 struct FinalAnswer {
   Reason reason = Reason::kCongestion;
-  Duration retry_after{};  ///< of a rejection; zero: no advice
+  Duration retry_after{};  ///< for rejections; zero gives no advice
 
   [[nodiscard]] bool is_rejection() const { return facts_of(reason).final_answer == Final::kRejected; }
 };
 
-/// `reason` and `retry_after` are why and with which advice the call is ended here. What its servers said of
-/// it goes before them. Advice of servers counts where the settings allow any, and no longer than they do.
-FinalAnswer final_answer(const Placement& placement, ProtocolVersionSet listed_versions, Reason reason,
+/// Returns the final answer of a call that this router ends with `reason` and the retry delay `retry_after`.
+/// Errors from servers take precedence over `reason`. A longer retry delay requested by servers replaces
+/// `retry_after` if the settings allow retry advice, up to their maximum.
+FinalAnswer final_answer(const Placement& placement, ProtocolVersionSet supported_versions, Reason reason,
                          Duration retry_after, const Limits& limits);
 
 }  // namespace amberknot::core
--- a/src/core/graceful_shutdown.hpp
+++ b/src/core/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
-// How a process leaves after SIGTERM: until when it waits for what, and whether another has taken its place.
-// No I/O: what the disk says comes in as records, the time as an argument.
+// Graceful shutdown after SIGTERM: how long the process waits for what, and whether another process has
+// replaced it. Does no I/O: records read from disk and the time are passed in.
 #pragma once
 
 #include <cstdint>
@@ -10,41 +10,45 @@
 
 namespace amberknot::core {
 
-/// A process that serves, as it says in the folder that it shares with the one it replaces.
+/// A running router process, as it describes itself in the folder that it shares with the process it
+/// replaces.
 struct InstanceRecord {
-  std::string name;    ///< of the router
-  std::string listen;  ///< the callers' address
+  std::string name;    ///< name of the router
+  std::string listen;  ///< address on which it listens for callers
   std::int64_t started_unix_us = 0;
   friend bool operator==(const InstanceRecord&, const InstanceRecord&) = default;
 };
 
-/// Whether one of the processes that are alive beside `self` serves the same callers and started later.
+/// Returns whether one of the other running processes serves the same callers as `self` and started later.
 bool is_replaced_by_any(const InstanceRecord& self, const std::vector<InstanceRecord>& alive);
-/// Whether `self` takes the place of one that is still alive.
+/// Returns whether `self` replaces a process that is still running.
 bool replaces_any(const InstanceRecord& self, const std::vector<InstanceRecord>& alive);
 
-/// What a replaced process has left to say to a caller who has gone to the other one: its call is over.
+/// The release of a call whose caller is now connected to the replacing process, so that the replaced process
+/// could not deliver it.
 struct UndeliveredRelease {
-  std::string caller;  ///< address
-  std::string id;      ///< of the call, as its caller named it
-  int cause = 0;       ///< Q.850
+  std::string caller;  ///< the caller's address
+  std::string id;      ///< the caller's id of the call
+  int cause = 0;       ///< Q.850 cause value
   friend bool operator==(const UndeliveredRelease&, const UndeliveredRelease&) = default;
 };
 
-/// The times of a process that SIGTERM reached.
+/// The deadlines of a process that has received SIGTERM.
 struct GracefulShutdown {
-  Instant accept_until{};  ///< callers go on connecting and asking until then
-  Instant answer_by{};     ///< every call has its final answer by then, whenever it was taken
-  Instant exit_by{};       ///< what stands is not waited for any longer
-
-  /// `longest` is the longest deadline of a class. SIGKILL comes no sooner than that, or its bound, plus the
-  /// time in which callers still come.
-  static GracefulShutdown plan(Instant now, Duration longest, bool replaced);
-
-  /// `unsettled`: set-ups are on their way in, or answers not yet written; waited for until `answer_by`.
-  [[nodiscard]] bool may_exit(Instant now, std::size_t unanswered, std::size_t standing,
-                              bool unsettled = false) const;
-  /// Until when callers may take to close their connections, once all is said.
+  Instant accept_until{};  ///< callers still connect and send set-ups until then
+  Instant answer_by{};     ///< every call gets its final answer by then, whenever it was received
+  Instant exit_by{};       ///< established calls are not waited for beyond this time
+
+  /// Plans the shutdown of a process that receives SIGTERM at `now`. `longest_deadline` is the longest
+  /// deadline of any class of call; `is_replaced` says that another process has taken over. SIGKILL is
+  /// expected no earlier than the period in which callers still arrive, plus that deadline up to a maximum.
+  static GracefulShutdown plan(Instant now, Duration longest_deadline, bool is_replaced);
+
+  /// Returns whether the process may exit. `has_pending_io` says that set-ups are still arriving or answers
+  /// are not yet written, which is waited for until `answer_by`.
+  [[nodiscard]] bool may_exit(Instant now, std::size_t unanswered, std::size_t established,
+                              bool has_pending_io = false) const;
+  /// Returns until when callers may close their connections, if everything has been sent at `now`.
   [[nodiscard]] Instant end_by(Instant now) const;
 };
 
--- a/src/core/load_report.cpp
+++ b/src/core/load_report.cpp
@@ -5,7 +5,7 @@
 namespace amberknot::core {
 
 void set_load_report_field(LoadReport& report, std::string_view name, double value) {
-  // Below zero: this report does not say.
+  // A negative value means that the server does not report this field.
   if (!std::isfinite(value) || value < 0) return;
   if (name == "x0" || name == "idle") report.free_lines = value;
   if (name == "x1" || name == "circuits") report.lines = value;
--- a/src/core/load_report.hpp
+++ b/src/core/load_report.hpp
@@ -1,4 +1,4 @@
-// A server's report of its load, field by field, whatever wire it came by.
+// Fills in a server's load report from named fields, whichever protocol carried them.
 #pragma once
 
 #include <string_view>
@@ -7,8 +7,8 @@
 
 namespace amberknot::core {
 
-/// Sets the field of that name, as the settings name them; unknown names and values below zero (this report
-/// does not say) are skipped.
+/// Sets the field with that name of the settings. Ignores unknown names, and values that are negative (not
+/// reported) or not finite.
 void set_load_report_field(LoadReport& report, std::string_view name, double value);
 
 }  // namespace amberknot::core
--- a/src/core/names.hpp
+++ b/src/core/names.hpp
@@ -1,4 +1,5 @@
-// The names that calls carry, as the settings list them. Every front looks its classes and tenants up here.
+// The names of classes of call and of tenants from the settings, which every frontend looks up here, and the
+// check of called numbers.
 #pragma once
 
 #include <algorithm>
@@ -9,16 +10,16 @@
 
 namespace amberknot::core {
 
-/// Names of the settings, as they stand in set-ups, and the lines that a call of each class takes at most.
+/// The names of the settings as set-ups carry them, and the most lines that a call of each class occupies.
 struct Names {
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
-  std::vector<double> widths = {};  ///< by class; empty: not told
-  /// By class: taken away by new settings. Its number stays, so that calls under way keep their class, but
-  /// no new call is of it.
+  std::vector<double> widths = {};  ///< most lines of a call, by class; empty if the settings give none
+  /// By class: whether a reload has removed it. A removed class keeps its index, so that calls in progress
+  /// keep their class, but new calls cannot use it.
   std::vector<bool> retired = {};
 
-  /// The number of a class that new calls may be of.
+  /// Returns the index of a class that new calls may use, or nothing if there is none of that name.
   [[nodiscard]] std::optional<std::size_t> class_no(std::string_view name) const {
     for (std::size_t i = 0; i < classes.size(); ++i) {
       if (classes[i] == name && !(i < retired.size() && retired[i])) return i;
@@ -27,7 +28,8 @@
   }
 };
 
-/// A number called may stand in a request line: digits, letters and a few marks.
+/// Returns whether `text` is a valid called number: 1 to 64 ASCII letters, digits, or one of `+*#-._`, all of
+/// which may appear in a request line.
 inline bool is_number_called(std::string_view text) {
   return !text.empty() && text.size() <= 64 && std::all_of(text.begin(), text.end(), [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '+' ||
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -9,29 +9,30 @@
   const auto verdict = verdict_of(meaning);
   switch (meaning.about) {
     case About::kServer:
-      about_server_ = meaning.reason;
+      server_error_ = meaning.reason;
       if (retry_after) retry_after_ = retry_after_ ? std::min(*retry_after_, *retry_after) : *retry_after;
       break;
     case About::kVersion:
-      about_version_ = meaning.reason;
+      version_error_ = meaning.reason;
       excluded_ |= set_of(version);
       break;
     case About::kCall:
-      about_call_ = meaning.reason;
+      call_error_ = meaning.reason;
       if (retry_after) retry_after_ = *retry_after;
       break;
   }
   return verdict;
 }
 
-Reason Placement::reason(Reason otherwise) const {
-  if (about_call_) return *about_call_;
-  if (about_version_) return *about_version_;
-  // The module's own word for a shortage stands, unless the last server said something that is no shortage.
-  if (about_server_ && facts_of(*about_server_).final_answer == facts_of(otherwise).final_answer) {
-    return *about_server_;
+Reason Placement::reason(Reason module_reason) const {
+  if (call_error_) return *call_error_;
+  if (version_error_) return *version_error_;
+  // The last server error is more specific than the module's reason, but applies only if it leads to the same
+  // kind of final answer.
+  if (server_error_ && facts_of(*server_error_).final_answer == facts_of(module_reason).final_answer) {
+    return *server_error_;
   }
-  return otherwise;
+  return module_reason;
 }
 
 }  // namespace amberknot::core
--- a/src/core/placement.hpp
+++ b/src/core/placement.hpp
@@ -1,5 +1,5 @@
-// One call among servers of several protocol versions: which are excluded for it, and which of the errors it
-// met its caller is given. No I/O and no clock.
+// Tracks the attempts of one call at servers of several protocol versions: which versions are excluded, and
+// which of the errors is reported to the caller. Does no I/O and reads no clock.
 #pragma once
 
 #include <optional>
@@ -9,42 +9,47 @@
 
 namespace amberknot::core {
 
-/// The version of a server that has not reported which it supports: no call excludes it, but one that is
-/// over.
+/// The version of a server that has not yet reported which it supports. Only a call that has already ended
+/// excludes it.
 inline constexpr ProtocolVersion kNotKnown{31};
 
+/// Returns the set that contains only that version.
 constexpr ProtocolVersionSet set_of(ProtocolVersion version) {
   return ProtocolVersionSet{1} << static_cast<unsigned>(version);
 }
 
-/// One call's attempts across versions: which are excluded by now, and the reason its caller is given in the
-/// end. The last error about the call itself takes precedence over errors about a server, and these over lack
-/// of capacity: "the tenant is suspended" says more than "all servers are full".
+/// The attempts of one call: the protocol versions excluded so far, and the reason that its caller is given
+/// in the end. The last error about the call takes precedence over errors about a protocol version or a
+/// server, and these take precedence over lack of capacity, because "the tenant is suspended" tells the
+/// caller more than "all servers are full".
 class Placement {
  public:
   Placement() = default;
   explicit Placement(ProtocolVersionSet excluded_versions) : excluded_(excluded_versions) {}
 
-  /// An attempt at a server of that version ended with that error. Returns what the module is to hear.
+  /// Records that an attempt at a server of that version ended with that error. Returns what the decision
+  /// module is told.
   Verdict on_attempt_ended(ProtocolVersion version, const ErrorMeaning& meaning,
                            std::optional<Duration> retry_after = std::nullopt);
 
   [[nodiscard]] ProtocolVersionSet excluded_versions() const { return excluded_; }
-  /// Whether all supported versions are excluded: the call is answered at once. While no server has reported
-  /// its version yet (`supported` is empty) the call may wait.
+  /// Returns whether all supported versions are excluded, so that the call must be answered at once. While no
+  /// server has reported its version (`supported` is empty), the call may wait.
   [[nodiscard]] bool is_unroutable(ProtocolVersionSet supported) const {
     return supported != 0 && (supported & ~excluded_) == 0;
   }
-  /// The reason the caller is given; `otherwise` is why the module ended the call.
-  [[nodiscard]] Reason reason(Reason otherwise) const;
-  /// The shortest Retry-After that servers have asked for: one that is available sooner will do.
+  /// Returns the reason that the caller is given; `module_reason` is the one for which the module ended the
+  /// call.
+  [[nodiscard]] Reason reason(Reason module_reason) const;
+  /// Returns the shortest Retry-After requested by a server, since the first server to be available again is
+  /// enough. One from an error about the call itself replaces it.
   [[nodiscard]] std::optional<Duration> retry_after() const { return retry_after_; }
 
  private:
   ProtocolVersionSet excluded_ = 0;
-  std::optional<Reason> about_call_;
-  std::optional<Reason> about_version_;
-  std::optional<Reason> about_server_;
+  std::optional<Reason> call_error_;
+  std::optional<Reason> version_error_;
+  std::optional<Reason> server_error_;
   std::optional<Duration> retry_after_;
 };
 
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -1,5 +1,6 @@
-// What the core asks of its two sides: frontends towards callers, upstream pools towards servers. The core
-// itself knows no protocol and no socket. All calls are made on the event loop's thread.
+// The interfaces through which the core uses frontends (towards callers) and upstream pools (towards
+// servers). The core itself depends on no protocol and no socket. All functions are called on the event
+// loop's thread.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +16,7 @@
 
 struct Endpoint;
 
-/// Q.850 causes that travel with releases.
+/// Q.850 cause values that releases carry.
 enum class Cause : int {
   kNormal = 16,
   kBusy = 17,
@@ -27,94 +28,102 @@
   kTimerExpiry = 102,
 };
 
-/// One attempt of a call at a server.
+/// Identifies one attempt to set up a call at a server.
 struct AttemptRef {
   CallId call{};
   std::uint32_t attempt = 0;
   ServerId server{};
 };
 
-/// A set-up as its frontend read it, for upstream pools that need more of it than the fields below. The core
-/// only carries it.
+/// A set-up request as parsed by its frontend, for upstream pools that need more than the fields of SetUp.
+/// The core passes it on without reading it.
 class ProtocolMessage {
  public:
   virtual ~ProtocolMessage() = default;
 };
 
-/// What a set-up carries on to a server, unchanged from its caller.
+/// The set-up of one attempt, with the fields that are passed unchanged from the caller to the server.
 struct SetUp {
   AttemptRef attempt;
   std::string_view id;  ///< 16 hex digits
   std::string_view call_class;
   std::string_view number;
   std::string_view description;
-  Duration wait{};                           ///< how long an answer is awaited
-  const ProtocolMessage* message = nullptr;  ///< null: the frontend keeps no more
+  Duration wait{};                           ///< how long to wait for an answer
+  const ProtocolMessage* message = nullptr;  ///< null if the frontend keeps no parsed request
 };
 
-/// Towards callers.
+/// Sends answers and releases to callers.
 class ClientPort {
  public:
   virtual ~ClientPort() = default;
-  /// False: the answer does not fit this protocol's messages; the call is then failed.
+  /// Answers a call that its server has accepted. Returns false if this protocol cannot carry the answer; the
+  /// core then fails the call.
   virtual bool answer(CallId call, std::string_view description) = 0;
-  /// A retry is harmless; `retry_after` says when, zero: no advice.
+  /// Rejects a call, which the caller may safely retry after `retry_after`; zero gives no advice.
   virtual void reject(CallId call, Reason reason, Duration retry_after) = 0;
-  /// The call is over; whether a retry is harmless is not known.
+  /// Fails a call; it is not known whether a retry is safe.
   virtual void fail(CallId call, Reason reason) = 0;
-  /// An established call is over.
+  /// Tells the caller that an established call has ended.
   virtual void release(CallId call, Cause cause) = 0;
 };
 
-/// Towards servers. No implementation reports back to the core from inside one of these calls.
+/// Sends set-ups, cancels and releases to servers. An implementation must not call back into the core from
+/// within one of these functions.
 class ServerPort {
  public:
   virtual ~ServerPort() = default;
+  /// Sends a set-up to its server.
   virtual void set_up(const SetUp& set_up) = 0;
-  /// True: no byte of the set-up had left, and none will; the server has not heard of it.
+  /// Cancels an attempt in flight. Returns true if no byte of its set-up has been or will be written, so that
+  /// the server never sees it.
   virtual bool cancel(const AttemptRef& attempt) = 0;
+  /// Releases an established call at its server.
   virtual void release(const AttemptRef& attempt, Cause cause) = 0;
-  /// The attempt is over and the server knows, or is lost: nothing is sent.
+  /// Drops the state of an attempt that has ended, without sending anything: the server knows or is lost.
   virtual void forget(const AttemptRef& attempt) = 0;
+  /// Sends a health check to a server.
   virtual void check_health(ServerId server) = 0;
 };
 
-/// Callers of one protocol: its listener, connections and sessions.
+/// Serves the callers of one protocol: listener, connections and sessions.
 class Frontend : public ClientPort {
  public:
-  /// Where its callers connect, as host:port.
+  /// The address on which it listens for callers, as host:port.
   [[nodiscard]] virtual std::string listen_address() const = 0;
-  /// Open connections of callers.
+  /// Number of open connections from callers.
   [[nodiscard]] virtual std::size_t connections() const = 0;
-  /// Whether no set-up is on its way in (unread, half read, or on a connection not yet accepted) and no
-  /// message waits to be written. May accept such connections.
+  /// Returns whether no set-up is still arriving (unread, partly read, or on a connection not yet accepted)
+  /// and no message is waiting to be written. May accept pending connections.
   [[nodiscard]] virtual bool is_settled() { return true; }
-  /// The process ends: every peer is notified, where the protocol has a message for that.
+  /// Called when the process exits. Notifies every peer if the protocol has a message for that.
   virtual void shut_down() {}
-  /// After shut_down(): whether every connection has been closed by its peer too.
+  /// Returns, after shut_down(), whether every peer has closed its connection too.
   [[nodiscard]] virtual bool is_closed() const { return true; }
-  /// Drain on the operators' `standby`: health checks of callers fail, what arrives is still served, and each
-  /// connection is closed once nothing on it awaits an answer. False: accept clients again.
+  /// Drains this frontend on the operators' `standby` command: callers' health checks fail, requests that
+  /// still arrive are served, and each connection is closed once no request on it awaits an answer. With
+  /// false, accepts callers again.
   virtual void set_standby(bool /*is_standby*/) {}
-  /// Hot restart: another process serves the same callers. No new connection is accepted here, and each is
-  /// closed once no set-up on it awaits an answer. Established calls go on; `undelivered` receives the
-  /// releases of those whose callers have no connection here any more.
+  /// Hands over to another process that serves the same callers (hot restart). No new connection is accepted
+  /// here, and each connection is closed once no set-up on it awaits an answer. Established calls continue;
+  /// `undelivered` receives the releases of calls whose callers no longer have a connection here.
   virtual void begin_hot_restart(std::function<void(UndeliveredRelease)> /*undelivered*/) {}
-  /// Sends a caller the release that a replaced process could not deliver.
+  /// Sends a caller a release that the replaced process could not deliver.
   virtual void deliver_release(const UndeliveredRelease& /*release*/) {}
 };
 
-/// The connections to all servers of one protocol.
+/// Manages the connections to all servers of one protocol.
 class UpstreamPool : public ServerPort {
  public:
-  /// The endpoint's entry was changed: connections to a new one are opened, those to a removed one closed,
-  /// and set-ups that may not leave any more withdrawn.
+  /// Called when an endpoint's entry has changed. Opens connections to a new endpoint, closes those to a
+  /// removed one, and withdraws set-ups that must no longer be sent.
   virtual void on_endpoint_changed(const Endpoint& server) = 0;
-  /// It was removed and nothing refers to it: its name, if it returns, is another server's.
+  /// Drops the state of a removed server that nothing refers to any more. If its name is listed again, it
+  /// belongs to another server.
   virtual void forget_server(ServerId server) = 0;
-  /// False: nothing new may go there now, whatever the endpoint list says.
+  /// Returns false if no new call may be sent to the server at present, whatever the endpoint list says.
   [[nodiscard]] virtual bool is_available(ServerId /*server*/) const { return true; }
-  /// The process ends.
+  /// Called when the process exits.
   virtual void shut_down() {}
 };
 
--- a/src/core/reason.cpp
+++ b/src/core/reason.cpp
@@ -5,7 +5,7 @@
 
 struct ReasonRow {
   std::string_view name;
-  ReasonFacts facts;
+  ReasonInfo facts;
 };
 constexpr std::array<ReasonRow, kReasons> kReasonRows = {{
     {"normal", {Final::kFailed, Reason::kServerFault}},
@@ -30,7 +30,7 @@
 std::string_view name_of(Reason reason) {
   return kReasonRows[static_cast<std::size_t>(reason)].name;
 }
-const ReasonFacts& facts_of(Reason reason) {
+const ReasonInfo& facts_of(Reason reason) {
   return kReasonRows[static_cast<std::size_t>(reason)].facts;
 }
 
@@ -45,15 +45,15 @@
   Verdict verdict;
   switch (meaning.about) {
     case About::kServer:
-      // Full is what the module takes as a reason to leave a server alone for a while, and it proves that
-      // nothing ran; an error that may have run counts against the server as one.
+      // The module pauses traffic to a server after kFull, which implies that the attempt was not executed.
+      // An attempt that may have been executed counts as an error of the server.
       if (meaning.ran == Ran::kMaybe) {
         verdict.outcome = meaning.reason == Reason::kTimeout   ? Outcome::kTimeout
                           : meaning.reason == Reason::kAborted ? Outcome::kReset
                                                                : Outcome::kError;
       } else {
-        const bool full = meaning.reason == Reason::kCongestion || meaning.reason == Reason::kNoCircuit;
-        verdict.outcome = full ? Outcome::kFull : Outcome::kNotSent;
+        const bool is_full = meaning.reason == Reason::kCongestion || meaning.reason == Reason::kNoCircuit;
+        verdict.outcome = is_full ? Outcome::kFull : Outcome::kNotSent;
       }
       break;
     case About::kVersion:
--- a/src/core/reason.hpp
+++ b/src/core/reason.hpp
@@ -1,5 +1,5 @@
-// Why calls end, what an error of a server proves, and what a caller is told in the end. Words for it are the
-// fronts'.
+// Reasons for which calls end, what a server's error says about the attempt that it ended, and which kind of
+// final answer the caller gets. The protocol frontends translate these into their own messages.
 #pragma once
 
 #include <array>
@@ -12,54 +12,60 @@
 
 namespace amberknot::core {
 
-/// Why a call ends, or is not set up. Every error of a server falls on exactly one of these, and every
-/// client's dialect has a word for each, its own or that of the reason above it.
+/// Why a call ends or is not set up. Every server error maps to exactly one reason. Every client dialect can
+/// express each reason, either with a code of its own or with that of the more general reason in
+/// `ReasonInfo::above`.
 enum class Reason : std::uint8_t {
-  kNormal,              ///< ended by a side's wish
-  kCongestion,          ///< all servers that may take it are full
+  kNormal,              ///< ended at the request of the caller or the server
+  kCongestion,          ///< all eligible servers are full
   kNoCircuit,           ///< the server has no free line
-  kTimeout,             ///< no answer within the caller's patience
-  kOverQuota,           ///< the tenant is past its share
-  kRegionClosed,        ///< nothing is settled there now
+  kTimeout,             ///< no answer before the caller's deadline
+  kOverQuota,           ///< the tenant has exceeded its quota
+  kRegionClosed,        ///< the region accepts no calls at present
   kNumberBusy,          ///< all lines of the number are in use
   kNumberUnknown,       ///< there is no such number
-  kTenantUnknown,       ///< nobody knows the tenant
-  kTenantSuspended,     ///< the tenant may not call now
-  kFieldRejected,       ///< a field has a value that is not taken
-  kNoCompatibleServer,  ///< no server's version can be told what this call needs
-  kDuplicate,           ///< the identity is in use
-  kServerFault,         ///< an error of the server
-  kAborted,             ///< its server or link was lost
+  kTenantUnknown,       ///< the tenant does not exist
+  kTenantSuspended,     ///< the tenant is barred from calling at present
+  kFieldRejected,       ///< the server does not accept the value of a field
+  kNoCompatibleServer,  ///< no available protocol version can express this call
+  kDuplicate,           ///< the call's identifier is already in use
+  kServerFault,         ///< error within the server
+  kAborted,             ///< the server or the connection to it was lost
 };
+/// Number of enumerators of Reason.
 inline constexpr std::size_t kReasons = 15;
+/// Returns the name of a reason as it stands in translation tables.
 std::string_view name_of(Reason reason);
+/// Returns the reason of that name, or nothing if the name is unknown.
 std::optional<Reason> reason_of(std::string_view name);
 
-/// How the caller is told. A refusal says that trying again is harmless; a failure says no more than that
-/// this call is over.
+/// The kind of final answer that the caller gets. A rejection says that the call may safely be retried; a
+/// failure says only that this call is over.
 enum class Final : std::uint8_t { kRejected, kFailed };
 
-struct ReasonFacts {
+/// Properties of a Reason.
+struct ReasonInfo {
   Final final_answer;
-  Reason above;  ///< whose word is used where a dialect has none of its own; itself at the two roots
+  Reason above;  ///< the more general reason, for dialects without a code for this one; a root names itself
 };
-/// The roots are kCongestion for refusals and kServerFault for failures.
-const ReasonFacts& facts_of(Reason reason);
+/// Returns the properties of a reason. The roots are kCongestion for rejections and kServerFault for
+/// failures.
+const ReasonInfo& facts_of(Reason reason);
 
-/// What an error proves of the attempt that it ended.
+/// Whether the server may have executed the attempt that an error ended.
 enum class Ran : std::uint8_t {
-  kNo,     ///< nothing ran: the call may be placed elsewhere
-  kMaybe,  ///< it may have run: only a repeatable call may be placed again, after the release wait
+  kNo,     ///< not executed: the call may be sent to another server
+  kMaybe,  ///< possibly executed: only an idempotent call may be sent again, after the retry pause
 };
 
-/// Whom an error is about: what may be concluded for other calls and other servers.
+/// What an error applies to, and so what follows from it for other calls and other servers.
 enum class About : std::uint8_t {
-  kServer,   ///< the server is at fault or full: the module hears of it
-  kVersion,  ///< this version of the protocol cannot take the call: no server that speaks it can
-  kCall,     ///< the call itself: no server would take it, and no server is to blame
+  kServer,   ///< the server is faulty or full: this is reported to the decision module
+  kVersion,  ///< no server that supports this protocol version can accept the call
+  kCall,     ///< no server would accept the call, and none is at fault
 };
 
-/// The one meaning of an error.
+/// The classification of a server error, independent of the protocol.
 struct ErrorMeaning {
   Reason reason = Reason::kServerFault;
   Ran ran = Ran::kMaybe;
@@ -68,13 +74,14 @@
   friend bool operator==(const ErrorMeaning&, const ErrorMeaning&) = default;
 };
 
-/// What the decision module is told of an attempt that ended so, and whether the call may be placed again.
+/// What the decision module is told about a failed attempt, and whether the call may be sent again.
 struct Verdict {
   Outcome outcome = Outcome::kError;
-  bool is_caller_fault = false;   ///< no fault of the server: it is not counted against it
-  bool excludes_version = false;  ///< no server of this version may have the call
-  bool final_now = false;         ///< the call is answered at once, with the reason
+  bool is_caller_fault = false;   ///< the error does not count against the server
+  bool excludes_version = false;  ///< the call must not go to any server of this protocol version
+  bool final_now = false;         ///< the call gets its final answer at once, with this reason
 };
+/// Returns what follows from an error.
 Verdict verdict_of(const ErrorMeaning& meaning);
 
 }  // namespace amberknot::core
--- a/src/core/reload_plan.cpp
+++ b/src/core/reload_plan.cpp
@@ -5,56 +5,62 @@
 namespace amberknot::core {
 namespace {
 
-std::size_t index_in(const std::vector<std::string>& names, const std::string& name) {
+std::size_t index_of(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-double width_of(const Names& names, std::size_t i) {
-  return i < names.widths.size() ? names.widths[i] : 1.0;
+double class_width(const Names& names, std::size_t index) {
+  return index < names.widths.size() ? names.widths[index] : 1.0;
 }
 
 }  // namespace
 
-ReloadPlan plan_reload(const Names& names, const Settings& now, const Names& fresh_names,
-                       const Settings& fresh) {
-  ReloadPlan out;
-  out.names.tenants = names.tenants;
-  const bool widths = !names.widths.empty() || !fresh_names.widths.empty();
-  for (std::size_t i = 0; i < names.classes.size(); ++i) {
-    const auto& name = names.classes[i];
-    const std::size_t there = index_in(fresh_names.classes, name);
-    const bool named = there < fresh_names.classes.size() && there < fresh.classes.size();
-    const bool was_retired = i < names.retired.size() && names.retired[i];
-    out.names.classes.push_back(name);
-    out.names.retired.push_back(!named);
-    out.classes.push_back(named ? fresh.classes[there] : now.classes.at(i));
-    if (widths) out.names.widths.push_back(named ? width_of(fresh_names, there) : width_of(names, i));
-    if (!named && !was_retired) out.notes.push_back("class " + name + " taken away");
-    if (named && was_retired) out.notes.push_back("class " + name + " taken again");
+ReloadPlan plan_reload(const Names& current_names, const Settings& current_settings, const Names& new_names,
+                       const Settings& new_settings) {
+  ReloadPlan plan;
+  plan.names.tenants = current_names.tenants;
+  const bool has_widths = !current_names.widths.empty() || !new_names.widths.empty();
+  for (std::size_t i = 0; i < current_names.classes.size(); ++i) {
+    const auto& name = current_names.classes[i];
+    const std::size_t new_index = index_of(new_names.classes, name);
+    const bool is_listed = new_index < new_names.classes.size() && new_index < new_settings.classes.size();
+    const bool was_retired = i < current_names.retired.size() && current_names.retired[i];
+    plan.names.classes.push_back(name);
+    plan.names.retired.push_back(!is_listed);
+    plan.classes.push_back(is_listed ? new_settings.classes[new_index] : current_settings.classes.at(i));
+    if (has_widths)
+      plan.names.widths.push_back(is_listed ? class_width(new_names, new_index)
+                                            : class_width(current_names, i));
+    if (!is_listed && !was_retired) plan.notes.push_back("class " + name + " removed");
+    if (is_listed && was_retired) plan.notes.push_back("class " + name + " restored");
   }
-  for (std::size_t j = 0; j < fresh_names.classes.size() && j < fresh.classes.size(); ++j) {
-    const auto& name = fresh_names.classes[j];
-    if (index_in(names.classes, name) < names.classes.size()) continue;
-    out.names.classes.push_back(name);
-    out.names.retired.push_back(false);
-    out.classes.push_back(fresh.classes[j]);
-    if (widths) out.names.widths.push_back(width_of(fresh_names, j));
-    out.notes.push_back("class " + name + " added");
+  for (std::size_t j = 0; j < new_names.classes.size() && j < new_settings.classes.size(); ++j) {
+    const auto& name = new_names.classes[j];
+    if (index_of(current_names.classes, name) < current_names.classes.size()) continue;
+    plan.names.classes.push_back(name);
+    plan.names.retired.push_back(false);
+    plan.classes.push_back(new_settings.classes[j]);
+    if (has_widths) plan.names.widths.push_back(class_width(new_names, j));
+    plan.notes.push_back("class " + name + " added");
   }
-  out.limits = fresh.limits;
-  if (fresh.limits.max_tries != now.limits.max_tries) {
-    out.notes.push_back("tries " + std::to_string(now.limits.max_tries) + " -> " +
-                        std::to_string(fresh.limits.max_tries));
+  plan.limits = new_settings.limits;
+  if (new_settings.limits.max_tries != current_settings.limits.max_tries) {
+    plan.notes.push_back("maximum attempts per call: " + std::to_string(current_settings.limits.max_tries) +
+                         " -> " + std::to_string(new_settings.limits.max_tries));
   }
-  if (fresh_names.tenants != names.tenants || fresh.tenants.size() != now.tenants.size())
-    out.requires_restart.push_back("tenants");
-  if (fresh.retransmit_interval != now.retransmit_interval || fresh.batch_interval != now.batch_interval)
-    out.requires_restart.push_back("timing");
-  if (!(fresh.invariants == now.invariants)) out.requires_restart.push_back("invariants");
-  if (fresh.over_quota_weight != now.over_quota_weight) out.requires_restart.push_back("over_share_worth");
-  if (fresh.peer_count != now.peer_count || fresh.self != now.self)
-    out.requires_restart.push_back("siblings");
-  return out;
+  if (new_names.tenants != current_names.tenants ||
+      new_settings.tenants.size() != current_settings.tenants.size())
+    plan.requires_restart.push_back("tenants");
+  if (new_settings.retransmit_interval != current_settings.retransmit_interval ||
+      new_settings.batch_interval != current_settings.batch_interval)
+    plan.requires_restart.push_back("timing");
+  if (!(new_settings.invariants == current_settings.invariants))
+    plan.requires_restart.push_back("invariants");
+  if (new_settings.over_quota_weight != current_settings.over_quota_weight)
+    plan.requires_restart.push_back("over_share_worth");
+  if (new_settings.peer_count != current_settings.peer_count || new_settings.self != current_settings.self)
+    plan.requires_restart.push_back("siblings");
+  return plan;
 }
 
 }  // namespace amberknot::core
--- a/src/core/reload_plan.hpp
+++ b/src/core/reload_plan.hpp
@@ -1,4 +1,4 @@
-// Configuration reload at SIGHUP: which of the new settings a running router applies. Decided without I/O.
+// Configuration reload on SIGHUP: determines which of the new settings a running router applies. Does no I/O.
 #pragma once
 
 #include <string>
@@ -9,20 +9,21 @@
 
 namespace amberknot::core {
 
-/// What a reload changes, and what it cannot.
+/// The changes that a reload makes, and the settings that it cannot change.
 struct ReloadPlan {
-  Names names;                     ///< the classes in their old places, new ones after them
-  std::vector<CallClass> classes;  ///< in the same order
+  Names names;                     ///< existing classes at their old indices, new ones after them
+  std::vector<CallClass> classes;  ///< settings of the classes, in the order of `names.classes`
   Limits limits;
-  std::vector<std::string> notes;  ///< one line for each class added or taken away, and for the limits
   std::vector<std::string>
-      requires_restart;  ///< settings that a running router does not change: they take a restart
+      notes;  ///< log text for each class added, removed or restored, and for changed limits
+  std::vector<std::string> requires_restart;  ///< changed settings that take effect only after a restart
 };
 
-/// Classes keep their numbers: one that `fresh` no longer names is retired in its place, one that it adds
-/// comes last, and one that it names again is taken as it says now. The limits are taken whole. Both sides
-/// are as read and checked; `now` and `fresh` hold one class for each name.
-ReloadPlan plan_reload(const Names& names, const Settings& now, const Names& fresh_names,
-                       const Settings& fresh);
+/// Plans the change from the current to the new settings. Classes keep their indices: a class missing from
+/// `new_settings` is retired at its index, an added class comes last, and a retired class that is listed
+/// again gets its new settings. All limits are replaced. Both settings must have been validated, and hold one
+/// class for each name.
+ReloadPlan plan_reload(const Names& current_names, const Settings& current_settings, const Names& new_names,
+                       const Settings& new_settings);
 
 }  // namespace amberknot::core
--- a/src/core/timer_wheel.cpp
+++ b/src/core/timer_wheel.cpp
@@ -4,26 +4,26 @@
 
 namespace amberknot::core {
 
-TimerWheel::Handle TimerWheel::at(Instant when, std::function<void()> what) {
-  // Rounded up: what is due inside a tick fires at that tick's end.
-  const std::int64_t tick = std::max(tick_of(when + kTick - Duration{1}), ticks_ + 1);
-  const Handle handle = next_++;
-  slots_[static_cast<std::size_t>(tick) % kSlots].push_back({handle, tick});
-  what_.emplace(handle, std::move(what));
+TimerWheel::Handle TimerWheel::at(Instant when, std::function<void()> callback) {
+  // Rounded up, so that a timer that is due within a tick fires at the end of that tick.
+  const std::int64_t tick = std::max(tick_of(when + kTick - Duration{1}), last_fired_tick_ + 1);
+  const Handle handle = next_handle_++;
+  slots_[static_cast<std::size_t>(tick) % kSlotCount].push_back({handle, tick});
+  callbacks_.emplace(handle, std::move(callback));
   return handle;
 }
 
 void TimerWheel::cancel(Handle handle) {
-  what_.erase(handle);
+  callbacks_.erase(handle);
 }
 
 void TimerWheel::advance(Instant now) {
-  const std::int64_t until = tick_of(now);
-  while (ticks_ < until) {
-    const std::int64_t tick = ++ticks_;
-    auto& slot = slots_[static_cast<std::size_t>(tick) % kSlots];
+  const std::int64_t last_due_tick = tick_of(now);
+  while (last_fired_tick_ < last_due_tick) {
+    const std::int64_t tick = ++last_fired_tick_;
+    auto& slot = slots_[static_cast<std::size_t>(tick) % kSlotCount];
     if (slot.empty()) continue;
-    // A timer that sets another one may grow this slot, so the entries are taken out first.
+    // A callback may add a timer to this slot, so the entries are moved out before any callback runs.
     std::vector<Entry> entries;
     entries.swap(slot);
     std::vector<Handle> due;
@@ -35,11 +35,11 @@
       }
     }
     for (const Handle handle : due) {
-      const auto found = what_.find(handle);
-      if (found == what_.end()) continue;
-      const auto what = std::move(found->second);
-      what_.erase(found);
-      what();
+      const auto found = callbacks_.find(handle);
+      if (found == callbacks_.end()) continue;
+      const auto callback = std::move(found->second);
+      callbacks_.erase(found);
+      callback();
     }
   }
 }
--- a/src/core/timer_wheel.hpp
+++ b/src/core/timer_wheel.hpp
@@ -1,4 +1,5 @@
-// Coarse timers: one slot a tick, one tick every 5 ms. A timer never fires early, and at most a tick late.
+// A timer wheel with a resolution of 5 ms: each slot holds the timers of one tick. A timer never fires early,
+// and at most one tick late.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +12,26 @@
 
 namespace amberknot::core {
 
+/// Runs callbacks at given times. Not thread-safe.
 class TimerWheel {
  public:
-  using Handle = std::uint64_t;  ///< zero names no timer
+  using Handle = std::uint64_t;  ///< identifies a timer; zero identifies none
+  /// The resolution: due times are rounded up to a multiple of this.
   static constexpr Duration kTick = std::chrono::milliseconds{5};
 
-  explicit TimerWheel(Instant now) : slots_(kSlots), ticks_(tick_of(now)) {}
+  explicit TimerWheel(Instant now) : slots_(kSlotCount), last_fired_tick_(tick_of(now)) {}
 
-  Handle at(Instant when, std::function<void()> what);
-  /// Of no effect once the timer has fired or for a handle of zero.
+  /// Runs `callback` once, at `when`. A time in the past means the next tick.
+  Handle at(Instant when, std::function<void()> callback);
+  /// Cancels a timer. Has no effect once the timer has fired, or for a handle of zero.
   void cancel(Handle handle);
-  /// Fires all that is due.
+  /// Runs the callbacks of all timers that are due.
   void advance(Instant now);
-  [[nodiscard]] std::size_t size() const { return what_.size(); }
+  /// Number of pending timers.
+  [[nodiscard]] std::size_t size() const { return callbacks_.size(); }
 
  private:
-  static constexpr std::size_t kSlots = 2048;
+  static constexpr std::size_t kSlotCount = 2048;
   static std::int64_t tick_of(Instant when) { return when.time_since_epoch() / kTick; }
 
   struct Entry {
@@ -34,9 +39,9 @@
     std::int64_t tick;
   };
   std::vector<std::vector<Entry>> slots_;
-  std::unordered_map<Handle, std::function<void()>> what_;
-  std::int64_t ticks_;  ///< the last tick that has been fired
-  Handle next_ = 1;
+  std::unordered_map<Handle, std::function<void()>> callbacks_;
+  std::int64_t last_fired_tick_;  ///< the last tick whose timers have fired
+  Handle next_handle_ = 1;
 };
 
 }  // namespace amberknot::core
--- a/tests/core_state_test.cpp
+++ b/tests/core_state_test.cpp
@@ -1,4 +1,5 @@
-// The core's decisions without I/O: states of a call, order of decisions, the reason of a final answer.
+// Tests of the core that need no I/O: the states of a call, the order in which decisions are executed, and
+// the reason in the final answer to a caller.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -21,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("a call's states lead only where its table of transitions says") {
+TEST_CASE("a call changes state only along the documented transitions") {
   using enum CallState;
   constexpr CallState kStates[] = {kQueued, kInFlight, kEstablished, kReleasing};
   constexpr bool kAllowed[4][4] = {
@@ -40,63 +41,66 @@
   }
 }
 
-TEST_CASE("decisions made while one is carried out wait for their turn") {
+TEST_CASE("decisions made while another one is executed are appended, not nested") {
   std::vector<std::uint32_t> order;
-  DecisionQueue* inner = nullptr;
-  bool was_nested = false;
+  DecisionQueue* queue_in_handler = nullptr;
+  bool was_executed_nested = false;
   DecisionQueue queue([&](const Decision& decision) {
     order.push_back(static_cast<std::uint32_t>(decision.call));
-    if (decision.call == CallId{1}) was_nested = inner->execute({decision_about(3), decision_about(4)});
-    order.push_back(0);  // the end of this one
+    if (decision.call == CallId{1})
+      was_executed_nested = queue_in_handler->execute({decision_about(3), decision_about(4)});
+    order.push_back(0);  // marks the end of this decision
   });
-  inner = &queue;
+  queue_in_handler = &queue;
   CHECK(queue.execute({decision_about(1), decision_about(2)}));
-  CHECK_FALSE(was_nested);
+  CHECK_FALSE(was_executed_nested);
   CHECK(order == std::vector<std::uint32_t>{1, 0, 2, 0, 3, 0, 4, 0});
 }
 
-TEST_CASE("a final answer: what the servers said of the call goes before why it was ended here") {
+TEST_CASE("errors from servers take precedence over the router's own reason in the final answer") {
   constexpr ProtocolVersion kOld{0};
   constexpr ProtocolVersion kNew{1};
   const ErrorMeaning suspended{Reason::kTenantSuspended, Ran::kNo, About::kCall};
   const ErrorMeaning full{Reason::kNoCircuit, Ran::kNo, About::kServer};
-  const ErrorMeaning not_understood{Reason::kFieldRejected, Ran::kNo, About::kVersion};
+  const ErrorMeaning version_rejects_field{Reason::kFieldRejected, Ran::kNo, About::kVersion};
   Limits limits;
   limits.retry_advice = true;
   limits.max_retry_advice = milliseconds{500};
-  const auto listed = set_of(kOld) | set_of(kNew);
+  const auto supported_versions = set_of(kOld) | set_of(kNew);
   const auto answer = [&](const Placement& placement, ProtocolVersionSet versions) {
     return final_answer(placement, versions, Reason::kCongestion, milliseconds{100}, limits);
   };
 
-  Placement nothing_met;
-  CHECK(answer(nothing_met, listed).reason == Reason::kCongestion);
-  CHECK(answer(nothing_met, listed).is_rejection());
-  CHECK(answer(nothing_met, listed).retry_after == milliseconds{100});
+  Placement no_attempts;
+  CHECK(answer(no_attempts, supported_versions).reason == Reason::kCongestion);
+  CHECK(answer(no_attempts, supported_versions).is_rejection());
+  CHECK(answer(no_attempts, supported_versions).retry_after == milliseconds{100});
 
-  Placement met_full;
-  met_full.on_attempt_ended(kOld, full, milliseconds{900});
-  CHECK(answer(met_full, listed).reason == Reason::kNoCircuit);
-  CHECK(answer(met_full, listed).retry_after == milliseconds{500});  // no longer than the settings allow
+  Placement after_full;
+  after_full.on_attempt_ended(kOld, full, milliseconds{900});
+  CHECK(answer(after_full, supported_versions).reason == Reason::kNoCircuit);
+  CHECK(answer(after_full, supported_versions).retry_after ==
+        milliseconds{500});  // capped at the configured maximum
   limits.retry_advice = false;
-  CHECK(answer(met_full, listed).retry_after == milliseconds{100});  // the server's advice does not count
+  CHECK(answer(after_full, supported_versions).retry_after ==
+        milliseconds{100});  // the server's Retry-After is ignored
   limits.retry_advice = true;
 
-  Placement met_suspended;
-  met_suspended.on_attempt_ended(kOld, full, milliseconds{900});
-  met_suspended.on_attempt_ended(kOld, suspended);
-  CHECK(answer(met_suspended, listed).reason == Reason::kTenantSuspended);
-  CHECK_FALSE(answer(met_suspended, listed).is_rejection());
-  CHECK(answer(met_suspended, listed).retry_after == Duration::zero());
+  Placement after_suspended;
+  after_suspended.on_attempt_ended(kOld, full, milliseconds{900});
+  after_suspended.on_attempt_ended(kOld, suspended);
+  CHECK(answer(after_suspended, supported_versions).reason == Reason::kTenantSuspended);
+  CHECK_FALSE(answer(after_suspended, supported_versions).is_rejection());
+  CHECK(answer(after_suspended, supported_versions).retry_after == Duration::zero());
 
   Placement excluded;
-  excluded.on_attempt_ended(kOld, not_understood);
+  excluded.on_attempt_ended(kOld, version_rejects_field);
   CHECK(answer(excluded, set_of(kOld)).reason == Reason::kFieldRejected);
   const Placement excluded_from_the_start(set_of(kOld));
   CHECK(answer(excluded_from_the_start, set_of(kOld)).reason == Reason::kNoCompatibleServer);
-  CHECK(answer(excluded_from_the_start, listed).reason == Reason::kCongestion);
+  CHECK(answer(excluded_from_the_start, supported_versions).reason == Reason::kCongestion);
   CHECK(answer(excluded_from_the_start, 0).reason ==
-        Reason::kCongestion);  // none has reported its version yet
+        Reason::kCongestion);  // no server has reported its version yet
 }
 
 }  // namespace amberknot::core
