--- a/src/core/call_table.hpp
+++ b/src/core/call_table.hpp
@@ -50,8 +50,8 @@
   void begin_shutdown(const GracefulShutdown& plan);
 
   // Events from servers.
-  /// Handles a server's acceptance of a call. Returns false if the attempt is over; the upstream pool then
-  /// has to acknowledge the answer and release the call at the server.
+  /// Handles a server's acceptance of a call. Returns false if the attempt is over or the answer cannot be
+  /// passed on; the upstream pool then has to acknowledge it and release the call at the server.
   bool on_established(const AttemptRef& attempt, std::string_view description);
   /// Handles the end of an attempt; ignored if the attempt is already over.
   void on_attempt_ended(const AttemptRef& attempt, const AttemptEnd& end);
