--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -6,8 +6,7 @@
 namespace amberknot::admin {
 namespace {
 
-/// The pause before the next accept after a failed one, so that a lasting failure does not keep the loop
-/// busy.
+/// How long the server waits after a failed accept, so that a persistent failure does not keep the loop busy.
 constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds{20};
 
 }  // namespace
@@ -43,17 +42,17 @@
 }
 
 void AdminServer::on_accept_failed(const asio::error_code& error) {
-  net::log::warn("control: accept failed: ", error.message());
+  net::log::warn("admin: accept failed, will retry: ", error.message());
   loop_.after(kAcceptRetryDelay, [this] { accept(); });
 }
 
 void AdminServer::close_oldest() {
-  // The oldest has had longest to send its command; an idle client must not keep the next one out.
+  // The oldest connection has had the most time to send its command; idle clients must not block new ones.
   const auto oldest = std::min_element(
       connections_.begin(), connections_.end(),
       [](const auto& a, const auto& b) { return a.second.accepted_at < b.second.accepted_at; });
-  net::log::info(connection_limit_log_, "control: ", connections_.size(),
-                 " connections open: the oldest is closed");
+  net::log::info(connection_limit_log_, "admin: ", connections_.size(),
+                 " connections open, closing the oldest one");
   abort(oldest->first);
 }
 
@@ -70,7 +69,7 @@
 void AdminServer::on_command_timeout(net::TcpConnection* stream) {
   const auto found = connections_.find(stream);
   if (found == connections_.end()) return;
-  found->second.command_timer = 0;  // it has just fired: nothing is left to cancel
+  found->second.command_timer = 0;  // has just fired; nothing to cancel
   abort(stream);
 }
 
@@ -89,11 +88,12 @@
   const auto parsed = parse_command(line);
   if (const auto* command = std::get_if<Command>(&parsed)) return handler_(*command);
   const auto& error = std::get<CommandError>(parsed);
-  net::log::warn(rejected_command_log_, "control: ", error.message, " from ", stream.remote());
+  net::log::warn(rejected_command_log_, "admin: rejected command line: ", error.message, " from ",
+                 stream.remote());
   return "-ERR " + error.message;
 }
 
-void AdminServer::on_closed(net::TcpConnection& stream, net::CloseReason /*why*/) {
+void AdminServer::on_closed(net::TcpConnection& stream, net::CloseReason /*reason*/) {
   remove(&stream);
 }
 
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,5 +1,5 @@
-// The admin server: a TCP listener for operators. Each connection carries one command line and gets one
-// reply, then it is closed.
+// The admin server: a TCP listener for operators. Each connection carries one command line and receives one
+// reply; then it is closed.
 #pragma once
 
 #include <asio.hpp>
@@ -18,33 +18,33 @@
 
 namespace amberknot::admin {
 
-/// Serves admin commands on an address of its own. It shares no queue with calls, and a client that sends
-/// nothing blocks no other: the number of connections is bounded and each has a deadline. All of it runs on
-/// the loop's thread. Faults of a connection end that connection; a failing accept is logged and tried again.
+/// Serves admin commands on a separate address. It shares no queue with calls. An idle client does not block
+/// others, since the number of connections is limited and each has a deadline. An error on a connection
+/// closes that connection; a failed accept is logged and retried. Used on the event loop's thread only.
 class AdminServer : public net::TcpConnection::Owner {
  public:
-  /// Carries out a command and returns the reply without its last line feed. Called on the loop's thread.
+  /// Executes a command and returns the reply without its last line feed. Called on the event loop's thread.
   using CommandHandler = std::function<std::string(Command)>;
 
-  /// Listens at `address` (port 0: any free one) and serves until it is destroyed. At `max_connections`, at
-  /// least one, a newcomer takes the place of the oldest connection. Throws `std::system_error` if it cannot
-  /// listen.
+  /// Listens at `address` and serves until it is destroyed; with port 0, the system chooses a free port. When
+  /// `max_connections` are open, a new one closes the oldest; a limit of 0 counts as 1. Throws
+  /// `std::system_error` if it cannot listen.
   AdminServer(net::Loop& loop, const asio::ip::tcp::endpoint& address, std::size_t max_connections,
               CommandHandler handler);
   /// Closes all connections.
   ~AdminServer() override;
 
-  /// The address it listens at, with the port that the system chose.
+  /// The address it listens at, with the actual port.
   [[nodiscard]] asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
-  /// Connections whose command has not been answered yet.
+  /// The number of connections whose command has not been answered yet.
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
 
-  /// A connection whose command line is not complete by then is closed. Shorter than the 4 s for which the
-  /// platform's idle clients stay connected.
+  /// How long a client may take to send its command line before its connection is closed. Less than the 4 s
+  /// for which the platform's idle clients stay connected.
   static constexpr Duration kCommandTimeout = std::chrono::milliseconds{2000};
 
  private:
-  /// A connection that waits for its command line.
+  /// A connection whose command line is not complete.
   struct Connection {
     std::shared_ptr<net::TcpConnection> stream;
     Instant accepted_at{};
@@ -58,12 +58,12 @@
   void on_command_timeout(net::TcpConnection* stream);
   [[nodiscard]] std::string reply_to(std::string_view line, net::TcpConnection& stream);
   std::size_t on_bytes(net::TcpConnection& stream, std::span<char> bytes) override;
-  void on_closed(net::TcpConnection& stream, net::CloseReason why) override;
-  /// Removes a connection from the table and cancels its timer; empty: it is not in the table.
+  void on_closed(net::TcpConnection& stream, net::CloseReason reason) override;
+  /// Removes a connection from the table and cancels its timer. Returns nothing if it is not in the table.
   std::optional<Connection> remove(net::TcpConnection* stream);
-  /// Closes a connection without writing what is queued for it.
+  /// Closes a connection and discards output that is still queued.
   void abort(net::TcpConnection* stream);
-  /// Closes a connection once what is queued for it is written.
+  /// Closes a connection once its queued output is written.
   void finish(net::TcpConnection* stream);
 
   net::Loop& loop_;
@@ -71,7 +71,7 @@
   std::size_t max_connections_;
   CommandHandler handler_;
   std::unordered_map<net::TcpConnection*, Connection> connections_;
-  /// Answered connections that still write their reply or wait for the client to close.
+  /// Answered connections whose reply is still being written or whose client has not closed yet.
   std::vector<std::shared_ptr<net::TcpConnection>> finishing_;
   net::log::RateLimiter rejected_command_log_;
   net::log::RateLimiter connection_limit_log_;
--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -13,7 +13,7 @@
     {"active", Command::kActive},
 }};
 
-/// So many bytes of an unknown command are repeated in its error: enough to recognize a mistyped one.
+/// The number of bytes of an unknown command that its error repeats: enough to recognize a mistyped command.
 constexpr std::size_t kMaxQuotedBytes = 32;
 
 bool is_blank(char c) {
@@ -26,7 +26,7 @@
   return line;
 }
 
-/// The first bytes of `text`, with a question mark in place of each byte that is not printable ASCII.
+/// The first kMaxQuotedBytes of `text`, with `?` in place of each byte that is not printable ASCII.
 std::string quote(std::string_view text) {
   std::string quoted;
   for (const char c : text.substr(0, kMaxQuotedBytes)) quoted += (c >= 0x20 && c < 0x7f) ? c : '?';
--- a/src/admin/command.hpp
+++ b/src/admin/command.hpp
@@ -1,4 +1,4 @@
-// The commands of the admin server and the parser of one command line. Pure functions: no socket, no state.
+// The commands of the admin server and the parser of a command line. Has no I/O and no state.
 #pragma once
 
 #include <cstddef>
@@ -8,29 +8,29 @@
 
 namespace amberknot::admin {
 
-/// What an operator may ask for.
+/// A command of an operator.
 enum class Command {
-  kStatus,   ///< `status`: whether this process takes clients
+  kStatus,   ///< `status`: whether this process accepts clients
   kStats,    ///< `stats`: the metrics as statsd lines
-  kStandby,  ///< `standby`: begin to drain the clients' connections
-  kActive,   ///< `active`: end the drain
+  kStandby,  ///< `standby`: starts to drain the connections of clients
+  kActive,   ///< `active`: ends the drain
 };
 
-/// Why a line is no command.
+/// Why a line is not a command.
 enum class CommandFault { kLineTooLong, kEmptyLine, kUnknownCommand };
 
-/// A rejected line.
+/// The error for a rejected line.
 struct CommandError {
   CommandFault fault = CommandFault::kUnknownCommand;
-  std::string message;  ///< the reply's text after `-ERR `; printable ASCII
+  std::string message;  ///< the text of the reply after `-ERR `, in printable ASCII
 };
 
-/// The longest command line, in bytes without its line feed; a longer one is rejected whole. The longest
-/// command has 7 bytes: the rest is for blanks around it.
+/// The maximum length of a command line, in bytes without its line feed; a longer line is rejected. The
+/// longest command has 7 bytes; the rest allows for blanks around it.
 inline constexpr std::size_t kMaxCommandBytes = 256;
 
-/// Parses one line without its line feed. Blanks and tabs around the command and a carriage return at the end
-/// are ignored; commands are lower-case.
+/// Parses a line without its line feed. Spaces, tabs and carriage returns around the command are ignored.
+/// Commands are case-sensitive.
 std::variant<Command, CommandError> parse_command(std::string_view line);
 
 }  // namespace amberknot::admin
--- a/src/admin/metrics.hpp
+++ b/src/admin/metrics.hpp
@@ -1,4 +1,4 @@
-// The router's metrics in the text form of statsd. Pure: the caller passes the values, this formats them.
+// Formats the router's metrics as statsd lines. Has no I/O and no state.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,16 @@
 
 namespace amberknot::admin {
 
-/// Values of the moment, beside the counters, which only grow.
+/// Current values. The counters, by contrast, only grow.
 struct Gauges {
-  std::uint64_t open_requests = 0;     ///< calls that have not ended, established ones included
+  std::uint64_t open_requests = 0;     ///< calls that have not ended, including established ones
   std::uint64_t registry_entries = 0;  ///< servers in the endpoint list
-  std::uint64_t out_of_rotation = 0;   ///< those of them that take no calls now
+  std::uint64_t out_of_rotation = 0;   ///< servers of that list that accept no calls now
 };
 
-/// One counter line for each class and outcome (`router.fulfilled.voice:812|c`), then the gauges
-/// (`router.open_requests:14|g`), then a line `.`. `classes` are the classes' names by index; a class without
-/// a name is shown by its index.
+/// Returns one counter line for each class and outcome (`router.fulfilled.voice:812|c`), then the gauges
+/// (`router.open_requests:14|g`), then a line with a single `.`. `classes` holds the names of the classes by
+/// index; a class without a name is shown as its index.
 std::string statsd_lines(const core::Counters& counters, const std::vector<std::string>& classes,
                          const Gauges& gauges);
 
--- a/src/discovery/endpoint_update.cpp
+++ b/src/discovery/endpoint_update.cpp
@@ -6,7 +6,7 @@
 namespace amberknot::discovery {
 namespace {
 
-/// Above every pool's number; a group that is not below it counts as pool 0.
+/// Exclusive upper limit of pool numbers. A group outside of it counts as pool 0.
 constexpr double kPoolLimit = 4e9;
 
 std::optional<EndpointState> parse_state(std::string_view text) {
@@ -21,7 +21,7 @@
   return pool >= 0 && pool < kPoolLimit ? static_cast<std::uint32_t>(pool) : 0;
 }
 
-/// Empty: the entry has no name or an unknown state.
+/// Returns nothing if the entry has no name or an unknown state.
 std::optional<core::EndpointChange> parse_change(const rapidjson::Value& endpoint) {
   const auto state = parse_state(settings::text_in(endpoint, "status"));
   core::EndpointChange change;
@@ -49,7 +49,7 @@
   if (!cursor || *cursor < 0) return std::nullopt;
   update.cursor = static_cast<std::uint64_t>(*cursor);
   const auto* nodes = settings::member(event, "nodes");
-  if (nodes == nullptr) return update;  // an event of another kind
+  if (nodes == nullptr) return update;  // not an event about the endpoint list
   const auto* snapshot = settings::member(*nodes, "snapshot");
   update.whole_list = snapshot != nullptr && snapshot->IsTrue();
   const auto* endpoints = settings::member(*nodes, "endpoints");
--- a/src/discovery/endpoint_update.hpp
+++ b/src/discovery/endpoint_update.hpp
@@ -1,5 +1,5 @@
-// Changes of the endpoint list and the parser of the JSON that holds them: one event of the command channel,
-// or one entry of `known` in the configuration. Pure functions.
+// Changes of the endpoint list, and their parser. Their JSON form is an event of the command channel or an
+// entry of `known.cmds` in the configuration. Has no I/O and no state.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,18 @@
 
 namespace amberknot::discovery {
 
-/// One event about the endpoint list.
+/// One event of the command channel.
 struct EndpointUpdate {
-  std::uint64_t cursor = 0;  ///< the event's number; numbers grow
-  bool whole_list = false;   ///< `changes` is the whole list: an endpoint that it does not name is removed
-  bool has_servers = false;  ///< false: an event of another kind, which leaves the list as it is
+  std::uint64_t cursor = 0;  ///< the event's number; later events have higher numbers
+  bool whole_list = false;   ///< `changes` is the full list: endpoints that it does not name are removed
+  bool has_servers = false;  ///< false if the event does not concern the endpoint list
   std::vector<core::EndpointChange> changes;
 };
 
-/// Parses the data of one event. Empty: it is no JSON object, has no valid `cursor`, or its `nodes` hold no
-/// list of endpoints. Endpoints with an unknown state or no name are left out.
+/// Parses the data of an event. Returns nothing if it is not a JSON object, has no valid `cursor`, or has
+/// `nodes` without an array of endpoints. Endpoints with an unknown state or no name are skipped.
 std::optional<EndpointUpdate> parse_endpoint_update(std::string json);
-/// The same for an event that is parsed as JSON already.
+/// As above, for an event that has already been parsed as JSON.
 std::optional<EndpointUpdate> parse_endpoint_update(const rapidjson::Value& event);
 
 }  // namespace amberknot::discovery
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -12,11 +12,11 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kConnectTimeout = std::chrono::seconds{1};
-/// The channel sends a comment each second: after this long without a byte the connection is dead, though it
-/// looks open.
+/// The channel sends a comment every second. A connection without any data for this long is considered dead,
+/// even if it looks open.
 constexpr Duration kIdleTimeout = milliseconds{2500};
 constexpr Duration kReconnectDelay = milliseconds{100};
-/// How often an event that cannot be parsed is requested again before it is skipped.
+/// How many times an event that cannot be parsed is requested again before it is skipped.
 constexpr int kMaxRepeatedRequests = 3;
 constexpr unsigned kHttpOk = 200;
 
@@ -50,7 +50,8 @@
 }
 
 void EndpointWatcher::schedule_reconnect(const char* reason) {
-  net::log::info("command channel ", reason, ", resuming after ", last_event_id_);
+  net::log::info("discovery: command channel connection closed: ", reason,
+                 "; will reconnect and resume after event ", last_event_id_);
   cancel_timers();
   if (stream_) stream_->close();
   reconnect_timer_ = loop_.after(kReconnectDelay, [this] {
@@ -61,10 +62,10 @@
 
 void EndpointWatcher::reconnect_to(const asio::ip::tcp::endpoint& channel) {
   if (channel == channel_) return;
-  net::log::info("command channel moves from ", channel_, " to ", channel, ", resuming after ",
-                 last_event_id_);
+  net::log::info("discovery: command channel moved from ", channel_, " to ", channel,
+                 ", resuming after event ", last_event_id_);
   channel_ = channel;
-  // The old address reports nothing more though it stays open for a while: what it still sends is not read.
+  // The old address stays open for a while but reports no more events: what it still sends is not read.
   cancel_timers();
   if (stream_) stream_->close();
   connect();
@@ -94,12 +95,12 @@
 std::size_t EndpointWatcher::on_bytes(net::TcpConnection& stream, std::span<char> bytes) {
   restart_idle_timer();
   static const http_parser_settings callbacks = [] {
-    http_parser_settings made;
-    http_parser_settings_init(&made);
-    made.on_headers_complete = on_response_headers;
-    made.on_body = on_response_body;
-    made.on_message_complete = on_response_end;
-    return made;
+    http_parser_settings result;
+    http_parser_settings_init(&result);
+    result.on_headers_complete = on_response_headers;
+    result.on_body = on_response_body;
+    result.on_message_complete = on_response_end;
+    return result;
   }();
   const std::size_t parsed = http_parser_execute(&parser_, &callbacks, bytes.data(), bytes.size());
   if (stream.is_closed()) return bytes.size();
@@ -107,26 +108,27 @@
     schedule_reconnect("ended");
   } else if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parsed != bytes.size()) {
     ++counters_.unreadable;
-    net::log::warn("command channel: ", http_errno_description(HTTP_PARSER_ERRNO(&parser_)));
+    net::log::warn("discovery: cannot parse the HTTP response of the command channel: ",
+                   http_errno_description(HTTP_PARSER_ERRNO(&parser_)));
     schedule_reconnect("unreadable");
   }
   return bytes.size();
 }
 
-void EndpointWatcher::on_closed(net::TcpConnection& /*stream*/, net::CloseReason why) {
-  schedule_reconnect(name(why));
+void EndpointWatcher::on_closed(net::TcpConnection& /*stream*/, net::CloseReason reason) {
+  schedule_reconnect(name(reason));
 }
 
 int EndpointWatcher::on_response_headers(http_parser* parser) {
   if (parser->status_code == kHttpOk) return 0;
-  net::log::warn("command channel answers ", parser->status_code);
+  net::log::warn("discovery: command channel request failed with HTTP status ", parser->status_code);
   return -1;
 }
 
-int EndpointWatcher::on_response_body(http_parser* parser, const char* at, std::size_t size) {
+int EndpointWatcher::on_response_body(http_parser* parser, const char* data, std::size_t size) {
   auto* self = static_cast<EndpointWatcher*>(parser->data);
   const bool is_readable =
-      self->reader_.feed({at, size}, [self](const settings::SseEvent& event) { self->on_event(event); });
+      self->reader_.feed({data, size}, [self](const settings::SseEvent& event) { self->on_event(event); });
   return is_readable && !self->is_requesting_again_ ? 0 : -1;
 }
 
@@ -136,25 +138,28 @@
 }
 
 void EndpointWatcher::on_event(const settings::SseEvent& event) {
-  // What follows an unreadable event is not applied before it: its number would hide that one for good.
+  // Events that follow an unreadable event are not applied before it: their higher numbers would mark it as
+  // known, and it would never be applied.
   if (is_requesting_again_) return;
   auto update = parse_endpoint_update(event.data);
   if (!update) {
     on_unreadable_event(event);
     return;
   }
-  // The id is the event's number; the data repeats it.
+  // The SSE id is the event's number; it takes precedence over the cursor in the data.
   if (const auto id = parse_event_id(event)) update->cursor = *id;
   consecutive_unreadable_events_ = 0;
   apply_update(*update);
 }
 
 void EndpointWatcher::on_unreadable_event(const settings::SseEvent& event) {
-  // Most likely damaged on the way: it is requested again, and skipped only if that does not help.
+  // The event was most likely damaged in transit: it is requested again, and skipped only if it remains
+  // unreadable.
   ++counters_.unreadable;
   is_requesting_again_ = ++consecutive_unreadable_events_ <= kMaxRepeatedRequests;
-  net::log::warn("command channel: event ", event.id, " cannot be read",
-                 is_requesting_again_ ? ", asked for again" : ", skipped: the list may be wrong");
+  net::log::warn(
+      "discovery: command channel event ", event.id, " cannot be parsed",
+      is_requesting_again_ ? ", requesting it again" : ", skipping it: the endpoint list may be incomplete");
   const auto id = parse_event_id(event);
   if (is_requesting_again_ || !id) return;
   consecutive_unreadable_events_ = 0;
--- a/src/discovery/endpoint_watcher.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -1,5 +1,5 @@
 // The endpoint watcher: follows the command channel, a stream of server-sent events over HTTP, and reports
-// each change of the endpoint list once.
+// each event once.
 #pragma once
 
 #include <http_parser.h>
@@ -17,39 +17,41 @@
 
 namespace amberknot::discovery {
 
-/// Keeps one connection to the command channel open and resumes after the last event that it has, so that no
-/// event is lost or reported twice. A connection that is idle for 2.5 s, ends, or carries what cannot be
-/// parsed is replaced after 100 ms; each such fault is logged and nothing is thrown. All of it runs on the
-/// loop's thread.
+/// Keeps a connection to the command channel open and resumes after the last known event, so that no event is
+/// lost or reported twice. If the connection is idle for 2.5 s, is closed or carries data that cannot be
+/// parsed, the fault is logged and a new connection is opened after 100 ms. Throws nothing. Used on the event
+/// loop's thread only.
 class EndpointWatcher : public net::TcpConnection::Owner {
  public:
-  /// Called on the loop's thread with each new update, in the order of their numbers.
+  /// Called on the event loop's thread with each new update, in the order of their numbers.
   using OnUpdate = std::function<void(const EndpointUpdate&)>;
 
-  /// Connects to `channel` at once. Events up to the number `last_event_id` are known and not reported.
+  /// Starts to connect to `channel`. Events with numbers up to `last_event_id` are known and are not
+  /// reported.
   EndpointWatcher(net::Loop& loop, core::Counters& counters, asio::ip::tcp::endpoint channel,
                   std::uint64_t last_event_id, OnUpdate on_update);
 
-  /// Leaves the connection that is open and follows the channel at another address. The events' numbers go
-  /// on.
+  /// Follows the channel at another address, if it differs from the current one: closes the current
+  /// connection and resumes at the new address after the last known event.
   void reconnect_to(const asio::ip::tcp::endpoint& channel);
-  /// Reports an update that came by another way, such as a configuration, unless its number is known.
+  /// Reports an update from the channel or another source, such as a configuration, unless its number is
+  /// known.
   void apply_update(const EndpointUpdate& update);
 
  private:
   void connect();
-  /// Closes the connection and opens another after a pause; `reason` is for the log.
+  /// Closes the connection and opens another one after kReconnectDelay; `reason` is for the log.
   void schedule_reconnect(const char* reason);
   void restart_idle_timer();
   void cancel_timers();
   void on_open(net::TcpConnection& stream) override;
   std::size_t on_bytes(net::TcpConnection& stream, std::span<char> bytes) override;
-  void on_closed(net::TcpConnection& stream, net::CloseReason why) override;
+  void on_closed(net::TcpConnection& stream, net::CloseReason reason) override;
   void on_event(const settings::SseEvent& event);
   void on_unreadable_event(const settings::SseEvent& event);
-  // The HTTP parser's callbacks; what is not 0 ends the parsing.
+  // Callbacks of the HTTP parser; a result other than 0 stops the parser.
   static int on_response_headers(http_parser* parser);
-  static int on_response_body(http_parser* parser, const char* at, std::size_t size);
+  static int on_response_body(http_parser* parser, const char* data, std::size_t size);
   static int on_response_end(http_parser* parser);
 
   net::Loop& loop_;
@@ -62,7 +64,7 @@
   settings::SseReader reader_;
   bool has_response_ended_ = false;
   bool has_connected_before_ = false;
-  /// An event could not be parsed and is requested again: what follows it on this connection is ignored.
+  /// Set when an unreadable event has to be requested again: later events on this connection are ignored.
   bool is_requesting_again_ = false;
   int consecutive_unreadable_events_ = 0;
   core::TimerWheel::Handle idle_timer_ = 0;
--- a/src/discovery/gossip_transport.cpp
+++ b/src/discovery/gossip_transport.cpp
@@ -9,29 +9,29 @@
 namespace amberknot::discovery {
 
 GossipTransport::GossipTransport(net::Loop& loop, const asio::ip::udp::endpoint& listen,
-                                 std::vector<asio::ip::udp::endpoint> peers, asio::ip::udp::endpoint everyone,
-                                 OnMessage on_message)
+                                 std::vector<asio::ip::udp::endpoint> peers,
+                                 asio::ip::udp::endpoint broadcast_address, OnMessage on_message)
     : socket_(net::shared_datagrams(loop.io, listen)),
       peers_(std::move(peers)),
-      everyone_(std::move(everyone)),
+      broadcast_address_(std::move(broadcast_address)),
       on_message_(std::move(on_message)) {
   socket_.non_blocking(true);
   receive();
 }
 
 void GossipTransport::set_peers(std::vector<asio::ip::udp::endpoint> peers,
-                                const asio::ip::udp::endpoint& everyone) {
+                                const asio::ip::udp::endpoint& broadcast_address) {
   peers_ = std::move(peers);
-  everyone_ = everyone;
+  broadcast_address_ = broadcast_address;
 }
 
 void GossipTransport::broadcast(const std::vector<std::uint8_t>& bytes) {
   if (bytes.size() > kMaxMessageBytes) {
-    net::log::error("message to the siblings dropped: ", bytes.size(), " bytes");
+    net::log::error("gossip: outgoing message dropped, it exceeds the size limit: ", bytes.size(), " bytes");
     return;
   }
-  asio::error_code ignored;  // such a message may be lost anyway
-  socket_.send_to(asio::buffer(bytes), everyone_, 0, ignored);
+  asio::error_code ignored;  // datagrams may be lost anyway
+  socket_.send_to(asio::buffer(bytes), broadcast_address_, 0, ignored);
 }
 
 void GossipTransport::receive() {
--- a/src/hot_restart/instance_lock.cpp
+++ b/src/hot_restart/instance_lock.cpp
@@ -19,27 +19,27 @@
 namespace {
 
 constexpr std::string_view kFilePrefix = "amberknot-serving-";
-/// A record has a name, an address and a time: far below this.
+/// A record holds only a name, an address and a time, and is far smaller.
 constexpr std::size_t kMaxFileBytes = 1024;
 
 /// Owns a file descriptor.
 class Descriptor {
  public:
-  explicit Descriptor(int number) : number_(number) {}
+  explicit Descriptor(int descriptor) : descriptor_(descriptor) {}
   Descriptor(const Descriptor&) = delete;
   Descriptor& operator=(const Descriptor&) = delete;
   ~Descriptor() {
-    if (number_ >= 0) ::close(number_);
+    if (descriptor_ >= 0) ::close(descriptor_);
   }
-  [[nodiscard]] int get() const { return number_; }
-  /// Gives the descriptor to the caller.
-  int release() { return std::exchange(number_, -1); }
+  [[nodiscard]] int get() const { return descriptor_; }
+  /// Transfers ownership to the caller.
+  int release() { return std::exchange(descriptor_, -1); }
 
  private:
-  int number_;
+  int descriptor_;
 };
 
-/// The first bytes of a file; empty where it has none or cannot be read.
+/// The first kMaxFileBytes of a file; empty if the file is empty or cannot be read.
 std::string read_file(const Descriptor& file) {
   std::array<char, kMaxFileBytes> buffer{};
   const auto size = ::pread(file.get(), buffer.data(), buffer.size(), 0);
@@ -80,11 +80,11 @@
 
 std::variant<InstanceLock, StorageError> InstanceLock::acquire(const std::string& folder,
                                                                const core::InstanceRecord& self) {
-  if (folder.empty()) return StorageError{StorageFault::kNoFolder, "no folder is given in TMPDIR"};
+  if (folder.empty()) return StorageError{StorageFault::kNoFolder, "TMPDIR is not set"};
   std::string path = folder + "/" + std::string(kFilePrefix) + "XXXXXX";
   Descriptor created(::mkostemp(path.data(), O_CLOEXEC));
-  // Locked before it is written: whoever sees a written file without a lock may take it for a dead process's
-  // and remove it.
+  // The file is locked before it is written: another process takes a written file without a lock for the file
+  // of a dead process and removes it.
   if (created.get() < 0 || ::flock(created.get(), LOCK_EX) != 0 || !write_file(created, serialize(self))) {
     StorageError error{StorageFault::kWriteFailed, folder + ": " + std::strerror(errno)};
     if (created.get() >= 0) ::unlink(path.c_str());
@@ -118,7 +118,7 @@
     const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
     if (file.get() < 0) continue;
     if (!is_locked_by_another(file)) {
-      // Its process has died. An empty file is one that is being made: it is left alone.
+      // The process of this file has ended. An empty file is about to be written and is kept.
       if (!read_file(file).empty()) ::unlink(path.c_str());
       continue;
     }
--- a/src/hot_restart/record_head.hpp
+++ b/src/hot_restart/record_head.hpp
@@ -1,4 +1,5 @@
-// The members that every file in the shared folder begins with: the version of its form and whose it is.
+// The members that begin every file in the shared folder: the version of the format and the router that wrote
+// it.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -9,10 +10,10 @@
 
 namespace amberknot::hot_restart {
 
-/// Files of another version are not read.
+/// The version of the format. Files of another version are not read.
 inline constexpr int kRecordVersion = 1;
 
-/// Writes the head into an object that `writer` has begun.
+/// Writes the members into an object that `writer` has started.
 template <typename Writer>
 void write_head(Writer& writer, const core::InstanceRecord& instance) {
   writer.Key("version");
@@ -23,15 +24,16 @@
   writer.String(instance.listen.c_str());
 }
 
-/// The name and address, with no start time; empty: it is no such record, or of another version.
+/// Parses the name and address; the start time stays 0. Returns nothing if a member is missing or invalid, or
+/// the version is another one.
 inline std::optional<core::InstanceRecord> parse_head(const rapidjson::Value& record) {
   if (!record.IsObject()) return std::nullopt;
   const auto version = record.FindMember("version");
   const auto name = record.FindMember("name");
   const auto listen = record.FindMember("listen");
-  const auto none = record.MemberEnd();
-  if (version == none || !version->value.IsInt() || version->value.GetInt() != kRecordVersion ||
-      name == none || !name->value.IsString() || listen == none || !listen->value.IsString()) {
+  const auto end = record.MemberEnd();
+  if (version == end || !version->value.IsInt() || version->value.GetInt() != kRecordVersion || name == end ||
+      !name->value.IsString() || listen == end || !listen->value.IsString()) {
     return std::nullopt;
   }
   return core::InstanceRecord{
--- a/src/hot_restart/storage_error.hpp
+++ b/src/hot_restart/storage_error.hpp
@@ -1,20 +1,20 @@
-// The error of a file operation in the folder that processes share.
+// Errors of file operations in the folder that the processes of a router share.
 #pragma once
 
 #include <string>
 
 namespace amberknot::hot_restart {
 
-/// What could not be done.
+/// What failed.
 enum class StorageFault {
   kNoFolder,     ///< no folder is configured
-  kWriteFailed,  ///< a file could not be made, locked, written or put in place
+  kWriteFailed,  ///< a file could not be created, locked, written or renamed
 };
 
-/// A failed operation.
+/// The error of a failed operation.
 struct StorageError {
   StorageFault fault = StorageFault::kWriteFailed;
-  std::string message;  ///< for a log line: the path and the system's reason
+  std::string message;  ///< for the log: the path and the system's error text
 };
 
 }  // namespace amberknot::hot_restart
--- a/src/hot_restart/undelivered_releases.cpp
+++ b/src/hot_restart/undelivered_releases.cpp
@@ -18,22 +18,22 @@
 namespace {
 
 constexpr std::string_view kFilePrefix = "amberknot-releases-";
-/// A file under construction; the prefix keeps it from being loaded.
+/// Prefix of a file that is being written; files with it are not loaded.
 constexpr std::string_view kDraftPrefix = ".draft-";
 constexpr std::uintmax_t kMaxFileBytes = 1024 * 1024;
-/// More go into several files, so that each can be loaded: an id and a caller's address, quoted, are far
-/// below 200 bytes.
+/// More releases are split into several files, so that no file exceeds kMaxFileBytes. A release takes far
+/// less than 200 bytes, with the quoted id and caller's address.
 constexpr std::size_t kMaxReleasesInFile = kMaxFileBytes / 256;
 
-/// A file name; names sort in the order of their making.
+/// Returns a new file name; names sort in the order of creation.
 std::string next_file_name() {
-  static std::uint64_t made = 0;
+  static std::uint64_t sequence_number = 0;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const auto now_us = std::chrono::duration_cast<std::chrono::microseconds>(now).count();
-  return std::string(kFilePrefix) + std::to_string(now_us) + "-" + std::to_string(++made);
+  return std::string(kFilePrefix) + std::to_string(now_us) + "-" + std::to_string(++sequence_number);
 }
 
-/// Writes a file and puts it in place whole.
+/// Writes a file under a temporary name and renames it, so that it is never loaded incomplete.
 std::optional<StorageError> store_file(const std::string& folder, const std::string& text) {
   const auto name = next_file_name();
   const auto path = folder + "/" + name;
@@ -47,7 +47,7 @@
   return error;
 }
 
-/// The paths of all files of releases, oldest first.
+/// The paths of all release files, oldest first.
 std::vector<std::filesystem::path> release_files(const std::string& folder) {
   std::vector<std::filesystem::path> files;
   std::error_code failed;
@@ -85,10 +85,10 @@
   const auto caller = item.FindMember("caller");
   const auto id = item.FindMember("id");
   const auto cause = item.FindMember("cause");
-  const auto none = item.MemberEnd();
-  if (caller == none || !caller->value.IsString()) return std::nullopt;
-  if (id == none || !id->value.IsString()) return std::nullopt;
-  if (cause == none || !cause->value.IsInt()) return std::nullopt;
+  const auto end = item.MemberEnd();
+  if (caller == end || !caller->value.IsString()) return std::nullopt;
+  if (id == end || !id->value.IsString()) return std::nullopt;
+  if (cause == end || !cause->value.IsInt()) return std::nullopt;
   return core::UndeliveredRelease{
       .caller = caller->value.GetString(), .id = id->value.GetString(), .cause = cause->value.GetInt()};
 }
@@ -141,7 +141,7 @@
   LoadedReleases loaded;
   for (const auto& path : release_files(folder)) {
     auto releases = load_file(path, self);
-    std::error_code ignored;  // a file that stays is loaded again
+    std::error_code ignored;  // a file that cannot be removed is loaded again
     std::filesystem::remove(path, ignored);
     if (!releases) {
       ++loaded.unreadable_files;
