--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -12,63 +12,69 @@
 namespace amberknot::app {
 namespace {
 
-/// The nested settings as the path=value lines of the simulator's first message, which one reader serves.
-void flatten(const rapidjson::Value& value, const std::string& path, std::string& to) {
+/// Appends nested settings to `out` as path=value lines. The simulator's first message has the same form,
+/// so `settings::parse_settings` reads both.
+void flatten(const rapidjson::Value& value, const std::string& path, std::string& out) {
   if (value.IsObject()) {
     for (const auto& item : value.GetObject()) {
-      flatten(item.value, path.empty() ? item.name.GetString() : path + "." + item.name.GetString(), to);
+      flatten(item.value, path.empty() ? item.name.GetString() : path + "." + item.name.GetString(), out);
     }
     return;
   }
-  const auto scalar = [](const rapidjson::Value& one) {
-    return one.IsTrue() ? std::string("true") : one.IsFalse() ? "false" : std::string(settings::text_of(one));
+  const auto scalar = [](const rapidjson::Value& item) {
+    return item.IsTrue()    ? std::string("true")
+           : item.IsFalse() ? "false"
+                            : std::string(settings::text_of(item));
   };
   if (!value.IsArray()) {
-    to += path + "=" + scalar(value) + "\n";
+    out += path + "=" + scalar(value) + "\n";
     return;
   }
   const auto items = value.GetArray();
-  const bool nested = !items.Empty() && (items[0].IsObject() || items[0].IsArray());
-  if (!nested) {
-    to += path + "=";
+  const bool is_nested = !items.Empty() && (items[0].IsObject() || items[0].IsArray());
+  if (!is_nested) {
+    out += path + "=";
     for (rapidjson::SizeType i = 0; i < items.Size(); ++i) {
-      if (i > 0) to += ',';
-      to += scalar(items[i]);
+      if (i > 0) out += ',';
+      out += scalar(items[i]);
     }
-    to += "\n";
+    out += "\n";
     return;
   }
-  to += path + ".count=" + std::to_string(items.Size()) + "\n";
+  out += path + ".count=" + std::to_string(items.Size()) + "\n";
   for (rapidjson::SizeType i = 0; i < items.Size(); ++i) {
-    flatten(items[i], path + "." + std::to_string(i), to);
+    flatten(items[i], path + "." + std::to_string(i), out);
   }
 }
 
-const rapidjson::Value& need(const rapidjson::Value& object, const char* name) {
+/// Throws ConfigError if the member is missing.
+const rapidjson::Value& required_member(const rapidjson::Value& object, const char* name) {
   const auto* value = settings::member(object, name);
-  if (value == nullptr) throw ConfigError(std::string("config: missing ") + name);
+  if (value == nullptr) throw ConfigError(std::string("config: missing required field ") + name);
   return *value;
 }
 
-asio::ip::tcp::endpoint endpoint(std::string_view text, const char* field) {
-  const auto read = net::read_endpoint(text);
-  if (!read) throw ConfigError(std::string("config: no address in ") + field);
-  return *read;
+asio::ip::tcp::endpoint parse_tcp_endpoint(std::string_view text, const char* field) {
+  const auto parsed = net::read_endpoint(text);
+  if (!parsed) throw ConfigError(std::string("config: expected an IP address and a port in ") + field);
+  return *parsed;
 }
 
-asio::ip::udp::endpoint datagram_endpoint(std::string_view text, const char* field) {
-  const auto read = endpoint(text, field);
-  return {read.address(), read.port()};
+asio::ip::udp::endpoint parse_udp_endpoint(std::string_view text, const char* field) {
+  const auto tcp = parse_tcp_endpoint(text, field);
+  return {tcp.address(), tcp.port()};
 }
 
-std::vector<std::string> names_in(const rapidjson::Value& settings, const char* list) {
+/// The `name` of each entry of a list in the settings. Throws ConfigError if one is missing or occurs twice.
+std::vector<std::string> read_names(const rapidjson::Value& settings, const char* list) {
   std::vector<std::string> names;
   if (const auto* items = settings::member(settings, list); items != nullptr && items->IsArray()) {
     for (const auto& item : items->GetArray()) {
       const auto key =
           std::string("config: settings: ") + list + "." + std::to_string(names.size()) + ".name";
       const auto name = settings::text_in(item, "name");
-      // Callers name them; a name that two share would give one of them the other's settings.
+      // Callers refer to classes and tenants by name: with a duplicate, one entry would get the settings of
+      // the other.
       if (name.empty()) throw ConfigError(key + " is missing");
       if (std::find(names.begin(), names.end(), name) != names.end())
         throw ConfigError(key + " is there twice");
@@ -87,48 +93,51 @@
     throw ConfigError("config: not a JSON object");
   Config config;
   config.name = name.empty() ? settings::text_in(document, "name") : name;
-  config.listen = endpoint(listen.empty() ? settings::text_in(document, "listen") : listen, "listen");
+  config.listen =
+      parse_tcp_endpoint(listen.empty() ? settings::text_in(document, "listen") : listen, "listen");
   if (!control.empty()) {
-    config.control = endpoint(control, "control");
+    config.control = parse_tcp_endpoint(control, "control");
   } else if (const auto* admin_address = settings::member(document, "control")) {
-    config.control = endpoint(settings::text_of(*admin_address), "control");
+    config.control = parse_tcp_endpoint(settings::text_of(*admin_address), "control");
   }
-  const auto seed = settings::text_of(need(document, "seed"));
-  const auto [end, bad] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
-  if (seed.empty() || bad != std::errc{} || end != seed.data() + seed.size()) {
-    throw ConfigError("config: seed is not 16 hex digits");
+  const auto seed = settings::text_of(required_member(document, "seed"));
+  const auto [end, parse_error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
+  if (seed.empty() || parse_error != std::errc{} || end != seed.data() + seed.size()) {
+    throw ConfigError("config: seed is not a 64-bit hexadecimal number");
   }
   if (const auto* limits = settings::member(document, "limits")) {
     const auto sockets = settings::number_of(settings::text_in(*limits, "sockets"));
-    if (!sockets || *sockets < 32 || *sockets > 1e7) throw ConfigError("config: limits.sockets out of range");
+    if (!sockets || *sockets < 32 || *sockets > 1e7)
+      throw ConfigError("config: limits.sockets is not a number from 32 to 10,000,000");
     config.sockets = static_cast<std::size_t>(*sockets);
     const auto memory = settings::number_of(settings::text_in(*limits, "memory_mb"));
-    if (!memory || *memory < 16 || *memory > 1e6) throw ConfigError("config: limits.memory_mb out of range");
+    if (!memory || *memory < 16 || *memory > 1e6)
+      throw ConfigError("config: limits.memory_mb is not a number from 16 to 1,000,000");
     config.memory_mb = static_cast<std::size_t>(*memory);
   }
-  config.channel = endpoint(settings::text_of(need(document, "channel")), "channel");
-  if (const auto* own = settings::member(document, "peer_listen")) {
-    config.peer_listen = datagram_endpoint(settings::text_of(*own), "peer_listen");
+  config.channel = parse_tcp_endpoint(settings::text_of(required_member(document, "channel")), "channel");
+  if (const auto* peer_listen = settings::member(document, "peer_listen")) {
+    config.peer_listen = parse_udp_endpoint(settings::text_of(*peer_listen), "peer_listen");
   }
-  if (const auto* all = settings::member(document, "peers_all")) {
-    config.peers_all = datagram_endpoint(settings::text_of(*all), "peers_all");
+  if (const auto* broadcast_address = settings::member(document, "peers_all")) {
+    config.peers_all = parse_udp_endpoint(settings::text_of(*broadcast_address), "peers_all");
   }
   if (const auto* peers = settings::member(document, "peers"); peers != nullptr && peers->IsArray()) {
     for (const auto& peer : peers->GetArray())
-      config.peers.push_back(datagram_endpoint(settings::text_of(peer), "peers"));
+      config.peers.push_back(parse_udp_endpoint(settings::text_of(peer), "peers"));
   }
-  const auto& known = need(document, "known");
+  const auto& known = required_member(document, "known");
   const auto cursor = settings::number_of(settings::text_in(known, "cursor"));
-  if (!cursor || *cursor < 0) throw ConfigError("config: no number in known.cursor");
+  if (!cursor || *cursor < 0) throw ConfigError("config: known.cursor is not a non-negative number");
   config.cursor = static_cast<std::uint64_t>(*cursor);
-  const auto& events = need(known, "cmds");
-  if (!events.IsArray()) throw ConfigError("config: known.cmds is not a list");
+  const auto& events = required_member(known, "cmds");
+  if (!events.IsArray()) throw ConfigError("config: known.cmds is not an array");
   for (const auto& event : events.GetArray()) {
     auto update = discovery::parse_endpoint_update(event);
-    if (!update) throw ConfigError("config: an event in known.cmds cannot be read");
+    if (!update) throw ConfigError("config: known.cmds holds an event that is not a valid endpoint update");
     config.known.push_back(std::move(*update));
   }
-  const auto& settings = need(document, "settings");
+  const auto& settings = required_member(document, "settings");
   std::string pairs;
   flatten(settings, "", pairs);
   try {
@@ -137,7 +146,7 @@
     throw ConfigError(std::string("config: settings: ") + error.what());
   }
   config.settings_text = std::move(pairs);
-  config.names = {names_in(settings, "classes"), names_in(settings, "tenants"), {}};
+  config.names = {read_names(settings, "classes"), read_names(settings, "tenants"), {}};
   if (const auto* family = settings::member(settings, "family_info")) {
     if (const auto* widths = settings::member(*family, "channels_needed");
         widths != nullptr && widths->IsArray()) {
@@ -147,11 +156,12 @@
     }
   }
   const auto* limits = settings::member(settings, "limits");
-  const auto connect = limits != nullptr
-                           ? settings::number_of(settings::text_in(*limits, "connect_timeout_us"))
-                           : std::nullopt;
-  if (!connect || *connect <= 0) throw ConfigError("config: settings: no time in limits.connect_timeout_us");
-  config.connect_limit = Duration{static_cast<std::int64_t>(*connect)};
+  const auto connect_timeout_us = limits != nullptr
+                                      ? settings::number_of(settings::text_in(*limits, "connect_timeout_us"))
+                                      : std::nullopt;
+  if (!connect_timeout_us || *connect_timeout_us <= 0)
+    throw ConfigError("config: settings: limits.connect_timeout_us is not a positive number");
+  config.connect_limit = Duration{static_cast<std::int64_t>(*connect_timeout_us)};
   return config;
 }
 
--- a/src/app/config.hpp
+++ b/src/app/config.hpp
@@ -1,4 +1,4 @@
-// What a router is told at its start: the platform's file and environment.
+// The router's configuration: the platform's JSON file, with overrides from the environment.
 #pragma once
 
 #include <asio.hpp>
@@ -15,36 +15,39 @@
 
 namespace amberknot::app {
 
-/// The text names the field at fault.
+/// An invalid configuration or operator file; what() names the field.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+/// A configuration that has been read and checked.
 struct Config {
-  std::string name;
-  asio::ip::tcp::endpoint listen;
-  std::optional<asio::ip::tcp::endpoint> control;  ///< the admin server's address; none: not started
-  std::uint64_t seed = 0;
-  std::size_t sockets = 1024;
-  std::size_t memory_mb = 64;
-  asio::ip::tcp::endpoint channel;
-  std::optional<asio::ip::udp::endpoint> peer_listen;
-  std::vector<asio::ip::udp::endpoint> peers;
-  std::optional<asio::ip::udp::endpoint> peers_all;
-  std::uint64_t cursor = 0;
-  std::vector<discovery::EndpointUpdate> known;
+  std::string name;                ///< of this router
+  asio::ip::tcp::endpoint listen;  ///< for callers over JSON lines
+  std::optional<asio::ip::tcp::endpoint>
+      control;                      ///< the admin server's address; it is not started without one
+  std::uint64_t seed = 0;           ///< of the random numbers
+  std::size_t sockets = 1024;       ///< limit on open sockets
+  std::size_t memory_mb = 64;       ///< limit on memory, in MB
+  asio::ip::tcp::endpoint channel;  ///< the command channel, an HTTP server
+  std::optional<asio::ip::udp::endpoint> peer_listen;  ///< for gossip of the other routers
+  std::vector<asio::ip::udp::endpoint> peers;          ///< the other routers of the fleet
+  std::optional<asio::ip::udp::endpoint> peers_all;    ///< reaches all peers at once
+  std::uint64_t cursor = 0;  ///< number of the last command channel event that `known` includes
+  std::vector<discovery::EndpointUpdate> known;  ///< the endpoint list at the start
   Settings settings;
-  std::string settings_text;  ///< as path=value lines, to tell whether they were changed
-  core::Names names;
-  Duration connect_limit{};
+  std::string settings_text;  ///< as path=value lines; a reload compares them to detect changes
+  core::Names names;          ///< of classes and tenants
+  Duration connect_limit{};   ///< timeout for connecting to a server
 };
 
-/// `listen`, `name` and `control` from the environment take the place of the file's where they are not empty.
+/// Parses and checks a configuration file. `name`, `listen` and `control` come from the environment and
+/// override the file unless they are empty. Throws ConfigError.
 Config read_config(std::string json, std::string_view name, std::string_view listen,
                    std::string_view control = {});
 
-/// The whole file. Throws ConfigError.
+/// Returns the content of a file. Throws ConfigError if it cannot be read.
 std::string read_file(const std::string& path);
 
 }  // namespace amberknot::app
--- a/src/app/endpoint_updates.cpp
+++ b/src/app/endpoint_updates.cpp
@@ -11,22 +11,23 @@
 
 using std::chrono::milliseconds;
 
-// The entry of a removed server is kept for a while, since some of its calls may still need their release.
+// How long the entry of a removed server is kept: some of its calls may still have to be released.
 constexpr Duration kRemovedRetention = std::chrono::seconds{20};
 
-const char* name_of(EndpointState state) {
+/// The state as part of a log line.
+const char* state_text(EndpointState state) {
   switch (state) {
     case EndpointState::kReady:
-      return " ready";
+      return " is ready";
     case EndpointState::kDraining:
-      return " draining";
+      return " is draining";
     case EndpointState::kRemoved:
-      return " gone";
+      return " is removed";
   }
   return "";
 }
 
-/// When a process that started at that Unix time did so on the monotonic clock.
+/// Converts the start time of a process from Unix time to the monotonic clock.
 Instant start_instant(std::int64_t started_unix_ms) {
   const auto age = std::max<std::int64_t>(0, net::Loop::unix_ms() - started_unix_ms);
   return net::Loop::now() - milliseconds{age};
@@ -37,23 +38,24 @@
 void EndpointUpdates::apply(const discovery::EndpointUpdate& update) {
   if (!update.has_servers) return;
   const auto changes = changes_of(update);
-  Aftermath aftermath;
+  AffectedServers affected;
   std::vector<core::ServerFacts> facts;
-  for (const auto& change : changes) facts.push_back(facts_of(apply_change(change, aftermath)));
-  site_.table.on_endpoints_changed(update.whole_list, facts);
-  // The module hears of a drain before the pools withdraw set-ups: those are placed anew at once, and must
-  // not go there again.
+  for (const auto& change : changes) facts.push_back(facts_of(apply_change(change, affected)));
+  context_.table.on_endpoints_changed(update.whole_list, facts);
+  // The decision module is told of a drain before the pools withdraw set-ups: withdrawn set-ups are placed
+  // again at once and must not go to the draining server.
   for (const auto& change : changes) {
     if (change.state == EndpointState::kReady) continue;
-    const auto& server = site_.servers.of(change.name);
+    const auto& server = context_.servers.of(change.name);
     server.port->on_endpoint_changed(server);
   }
-  // A process that has died took its calls along; some may still need their release. Last, when the module
-  // has heard the whole update: each end lets it place what is queued, and that must not go to a removed
-  // server.
-  for (const auto id : aftermath.removed) site_.table.abort_all(id, "server gone");
-  for (const auto& [id, started] : aftermath.restarted) {
-    site_.table.abort_sent_before(id, started, "server started anew");
+  // The calls of a process that has ended are lost, and their callers may still need a release. This comes
+  // last, when the decision module knows the whole update: each call that ends lets it place queued calls,
+  // and those must not go to a removed server.
+  for (const auto id : affected.removed)
+    context_.table.abort_all(id, "server removed from the endpoint list");
+  for (const auto& [id, started] : affected.restarted) {
+    context_.table.abort_sent_before(id, started, "server restarted");
   }
 }
 
@@ -62,7 +64,7 @@
   if (!update.whole_list) return changes;
   std::set<std::string> listed;
   for (const auto& change : changes) listed.insert(change.name);
-  for (const auto& [id, server] : site_.servers.all()) {
+  for (const auto& [id, server] : context_.servers.all()) {
     if (server.state == EndpointState::kRemoved || listed.contains(server.name)) continue;
     changes.push_back({.name = server.name,
                        .address = server.address,
@@ -74,11 +76,11 @@
 }
 
 const core::Endpoint& EndpointUpdates::apply_change(const core::EndpointChange& change,
-                                                    Aftermath& aftermath) {
-  auto& server = site_.servers.of(change.name);
+                                                    AffectedServers& affected) {
+  auto& server = context_.servers.of(change.name);
   const bool is_known = server.port != nullptr;
   const bool is_removed_now = change.state == EndpointState::kRemoved;
-  if (is_removed_now && server.state != EndpointState::kRemoved) aftermath.removed.push_back(server.id);
+  if (is_removed_now && server.state != EndpointState::kRemoved) affected.removed.push_back(server.id);
   server.address = change.address;
   server.pool = PoolId{change.pool};
   server.state = change.state;
@@ -90,15 +92,15 @@
   if (!is_known) assign_pool(server);
   const bool is_started = change.started_unix_ms > server.started_unix_ms;
   if (is_started) {
-    // Read once for each start: the module takes a later moment for another start.
+    // Converted only once for each start: the decision module takes a different time as another restart.
     server.started_unix_ms = change.started_unix_ms;
     server.started = start_instant(change.started_unix_ms);
   }
   const bool is_restarted = is_started && is_known;
-  net::log::info("server ", server.name, " at ", server.address, name_of(change.state),
-                 is_restarted ? ", started anew" : "");
-  if (is_restarted) aftermath.restarted.emplace_back(server.id, *server.started);
-  // Connections to a new server come first, so that the module's set-ups find them.
+  net::log::info("endpoint update: server ", server.name, " at ", server.address, state_text(change.state),
+                 is_restarted ? ", restarted" : "");
+  if (is_restarted) affected.restarted.emplace_back(server.id, *server.started);
+  // Connections to a new server are opened before the decision module sends it set-ups.
   if (server.state == EndpointState::kReady) server.port->on_endpoint_changed(server);
   return server;
 }
@@ -106,12 +108,12 @@
 void EndpointUpdates::assign_pool(core::Endpoint& server) const {
   const auto kinds = upstream_pool_kinds();
   for (std::size_t i = 0; i < kinds.size(); ++i) {
-    if (!pools_[i] || !kinds[i].speaks(site_.setup, server.name)) continue;
+    if (!pools_[i] || !kinds[i].is_protocol_of(context_.operator_file, server.name)) continue;
     server.port = pools_[i].get();
-    if (!site_.translator) return;
+    if (!context_.translator) return;
     const auto dialect = kinds[i].dialect;
     server.version =
-        dialect.empty() ? core::kNotKnown : site_.translator->server_no(dialect).value_or(core::kNotKnown);
+        dialect.empty() ? core::kNotKnown : context_.translator->server_no(dialect).value_or(core::kNotKnown);
     return;
   }
 }
@@ -122,30 +124,31 @@
                           .state = server.state,
                           .started = server.started,
                           .version = server.version};
-  // A server whose pool cannot take anything new now, as a Diameter peer that is not up or whose watchdog is
-  // unanswered, may finish what is in flight. To the module that is a server that drains.
+  // If the pool cannot send new set-ups to a server, for example because a Diameter peer is not up or has not
+  // answered a watchdog, attempts in flight may still finish. The decision module sees such a server as
+  // draining.
   const bool is_unavailable = server.state == EndpointState::kReady && !server.port->is_available(server.id);
   if (is_unavailable) facts.state = EndpointState::kDraining;
   return facts;
 }
 
 void EndpointUpdates::on_availability_changed(ServerId id, bool is_restarted) {
-  auto& server = *site_.servers.find(id);
+  auto& server = *context_.servers.find(id);
   if (is_restarted) server.started = net::Loop::now();
-  site_.table.on_endpoints_changed(false, {facts_of(server)});
+  context_.table.on_endpoints_changed(false, {facts_of(server)});
 }
 
 void EndpointUpdates::forget_removed(Instant now) {
   std::vector<ServerId> expired;
-  for (const auto& [id, server] : site_.servers.all()) {
-    const bool is_old = server.removed_at && now - *server.removed_at > kRemovedRetention;
-    if (is_old && !site_.table.has_calls_at(id)) expired.push_back(id);
+  for (const auto& [id, server] : context_.servers.all()) {
+    const bool is_expired = server.removed_at && now - *server.removed_at > kRemovedRetention;
+    if (is_expired && !context_.table.has_calls_at(id)) expired.push_back(id);
   }
   for (const auto id : expired) {
     for (const auto& pool : pools_) {
       if (pool) pool->forget_server(id);
     }
-    site_.servers.forget(id);
+    context_.servers.forget(id);
   }
 }
 
--- a/src/app/endpoint_updates.hpp
+++ b/src/app/endpoint_updates.hpp
@@ -1,5 +1,5 @@
-// Applies endpoint updates to the registry, the upstream pools and the call table, in the one order in which
-// no set-up can reach a server that was removed or drains. The event loop's thread only.
+// Applies endpoint updates to the registry, the upstream pools and the call table. The order of these steps
+// ensures that no set-up is sent to a removed or draining server. Used on the event loop's thread only.
 #pragma once
 
 #include <memory>
@@ -11,35 +11,40 @@
 
 namespace amberknot::app {
 
-/// In the order of upstream_pool_kinds(); null: not set up.
+/// In the order of upstream_pool_kinds(); null if the operator file does not configure that kind.
 using UpstreamPools = std::vector<std::unique_ptr<core::UpstreamPool>>;
 
+/// Applies endpoint updates and the availability that the pools report.
 class EndpointUpdates {
  public:
-  /// All of `site` and `pools` outlive this object.
-  EndpointUpdates(const Site& site, const UpstreamPools& pools) : site_(site), pools_(pools) {}
+  /// `context`, what it refers to, and `pools` must outlive this object.
+  EndpointUpdates(const RouterContext& context, const UpstreamPools& pools)
+      : context_(context), pools_(pools) {}
 
-  /// Applies one update, from the configuration or the endpoint watcher. A whole list removes what it does
-  /// not name.
+  /// Applies an update from the configuration or the endpoint watcher. A full list removes every server that
+  /// it does not name.
   void apply(const discovery::EndpointUpdate& update);
-  /// A pool reports that a server accepts new calls now, or no longer, or was restarted.
+  /// Handles the report of a pool that a server now accepts calls, no longer accepts calls, or was restarted.
   void on_availability_changed(ServerId id, bool is_restarted);
-  /// Deletes the entries of servers that had been removed for long by then and that no call refers to.
+  /// Deletes the entries of servers whose retention time has passed at `now` and that no call refers to.
   void forget_removed(Instant now);
 
  private:
-  /// What an update means for calls that are established at its servers.
-  struct Aftermath {
+  /// Servers whose established calls an update ends.
+  struct AffectedServers {
     std::vector<ServerId> removed;
-    std::vector<std::pair<ServerId, Instant>> restarted;
+    std::vector<std::pair<ServerId, Instant>> restarted;  ///< with the time of the new start
   };
+  /// The changes of an update; a full list adds the removal of each server that it does not name.
   [[nodiscard]] std::vector<core::EndpointChange> changes_of(const discovery::EndpointUpdate& update) const;
-  /// Updates the registry's entry and opens connections to a server that is ready.
-  const core::Endpoint& apply_change(const core::EndpointChange& change, Aftermath& aftermath);
+  /// Updates the registry entry and opens connections if the server is ready.
+  const core::Endpoint& apply_change(const core::EndpointChange& change, AffectedServers& affected);
+  /// Assigns the upstream pool and the protocol version, if the pool has only one, to a new entry.
   void assign_pool(core::Endpoint& server) const;
+  /// What the decision module is told about a server.
   [[nodiscard]] static core::ServerFacts facts_of(const core::Endpoint& server);
 
-  const Site& site_;
+  const RouterContext& context_;
   const UpstreamPools& pools_;
 };
 
--- a/src/app/kinds.cpp
+++ b/src/app/kinds.cpp
@@ -13,58 +13,61 @@
 namespace amberknot::app {
 namespace {
 
-std::unique_ptr<core::Frontend> make_jsonl_frontend(Site& site) {
-  return std::make_unique<jsonl::Frontend>(site.loop, site.table, site.counters, site.names, site.settings,
-                                           site.bounds, site.config.listen, site.translator.get());
+std::unique_ptr<core::Frontend> make_jsonl_frontend(RouterContext& context) {
+  return std::make_unique<jsonl::Frontend>(context.loop, context.table, context.counters, context.names,
+                                           context.settings, context.resource_limits, context.config.listen,
+                                           context.translator.get());
 }
 
-std::unique_ptr<core::Frontend> make_diameter_frontend(Site& site) {
-  const auto& setup = site.setup.diameter;
-  if (!setup || !setup->listen) return nullptr;
-  auto front = std::make_unique<diameter::Frontend>(
-      site.loop, site.table, site.counters, site.identity, site.names, site.settings, *setup->listen,
-      site.bounds.diameter, setup->clients, site.tenant_of,
-      [&servers = site.servers](std::string_view host) -> std::optional<PoolId> {
+std::unique_ptr<core::Frontend> make_diameter_frontend(RouterContext& context) {
+  const auto& diameter_config = context.operator_file.diameter;
+  if (!diameter_config || !diameter_config->listen) return nullptr;
+  auto frontend = std::make_unique<diameter::Frontend>(
+      context.loop, context.table, context.counters, context.identity, context.names, context.settings,
+      *diameter_config->listen, context.resource_limits.diameter, diameter_config->clients, context.tenant_of,
+      [&servers = context.servers](std::string_view host) -> std::optional<PoolId> {
         const auto* server = servers.find(host);
         return server != nullptr ? std::optional(server->pool) : std::nullopt;
       },
-      site.translator.get());
-  net::log::info("diameter: ", site.identity.host, " serves clients at ", front->listen_address());
-  return front;
+      context.translator.get());
+  net::log::info("diameter: ", context.identity.host, " serves clients at ", frontend->listen_address());
+  return frontend;
 }
 
-std::unique_ptr<core::UpstreamPool> make_diameter_pool(Site& site) {
-  if (!site.setup.diameter) return nullptr;
-  return std::make_unique<diameter::ConnectionPool>(site.loop, site.table, site.servers, site.counters,
-                                                    site.identity, site.config.connect_limit,
-                                                    site.on_availability_changed);
+std::unique_ptr<core::UpstreamPool> make_diameter_pool(RouterContext& context) {
+  if (!context.operator_file.diameter) return nullptr;
+  return std::make_unique<diameter::ConnectionPool>(
+      context.loop, context.table, context.servers, context.counters, context.identity,
+      context.config.connect_limit, context.on_availability_changed);
 }
 
-std::unique_ptr<core::UpstreamPool> make_sip_pool(Site& site) {
-  return std::make_unique<sip::ConnectionPool>(site.loop, site.table, site.servers, site.counters,
-                                               site.bounds, site.config.name, site.config.connect_limit);
+std::unique_ptr<core::UpstreamPool> make_sip_pool(RouterContext& context) {
+  return std::make_unique<sip::ConnectionPool>(context.loop, context.table, context.servers, context.counters,
+                                               context.resource_limits, context.config.name,
+                                               context.config.connect_limit);
 }
 
-std::unique_ptr<core::UpstreamPool> make_http2_pool(Site& site) {
-  if (!site.setup.session_api) return nullptr;
-  const auto& limits = site.settings.limits;
+std::unique_ptr<core::UpstreamPool> make_http2_pool(RouterContext& context) {
+  if (!context.operator_file.session_api) return nullptr;
+  const auto& limits = context.settings.limits;
   return std::make_unique<http2::ConnectionPool>(
-      site.loop, site.table, site.servers, site.counters, site.bounds, *site.translator,
-      site.config.connect_limit, limits.max_retry_advice,
-      [&setup = *site.setup.session_api, &translator = *site.translator](const std::string& server) {
-        const auto* speaks = setup.of(server);
-        return speaks != nullptr ? translator.server_no(*speaks) : std::nullopt;
+      context.loop, context.table, context.servers, context.counters, context.resource_limits,
+      *context.translator, context.config.connect_limit, limits.max_retry_advice,
+      [&session_api = *context.operator_file.session_api,
+       &translator = *context.translator](const std::string& server) {
+        const auto* version = session_api.version_of(server);
+        return version != nullptr ? translator.server_no(*version) : std::nullopt;
       },
-      site.on_availability_changed);
+      context.on_availability_changed);
 }
 
-bool is_session_api_server(const OperatorFile& setup, const std::string& server) {
-  return setup.session_api && setup.session_api->of(server) != nullptr;
+bool is_session_api_server(const OperatorFile& operator_file, const std::string& server) {
+  return operator_file.session_api && operator_file.session_api->version_of(server) != nullptr;
 }
-bool is_diameter_server(const OperatorFile& setup, const std::string& server) {
-  return setup.diameter && setup.diameter->is_diameter_server(server);
+bool is_diameter_server(const OperatorFile& operator_file, const std::string& server) {
+  return operator_file.diameter && operator_file.diameter->is_diameter_server(server);
 }
-bool is_sip_server(const OperatorFile& /*setup*/, const std::string& /*server*/) {
+bool is_sip_server(const OperatorFile& /*operator_file*/, const std::string& /*server*/) {
   return true;
 }
 
@@ -84,34 +87,36 @@
   return kUpstreamPoolKinds;
 }
 
-std::unique_ptr<translate::Translator> make_translator(const OperatorFile& setup) {
-  if (!setup.session_api) return nullptr;
+std::unique_ptr<translate::Translator> make_translator(const OperatorFile& operator_file) {
+  if (!operator_file.session_api) return nullptr;
   std::vector<std::string> clients = {"json-lines"};
-  if (setup.diameter && setup.diameter->listen) clients.emplace_back("diameter");
+  if (operator_file.diameter && operator_file.diameter->listen) clients.emplace_back("diameter");
   std::vector<std::string> servers = {"sip", "diameter-server", "session-1"};
-  // Version 2 asks for a row of the operator's; without servers that may speak it none is wanted.
-  const bool two = std::any_of(setup.session_api->servers.begin(), setup.session_api->servers.end(),
-                               [](const auto& one) { return one.second != "session-1"; });
-  if (two) servers.emplace_back("session-2");
-  auto translator = std::make_unique<translate::Translator>(clients, servers, setup.translate);
+  // Version 2 needs a translation row from the operator. The row is not required if no server may use
+  // version 2.
+  const bool has_version_2 =
+      std::any_of(operator_file.session_api->servers.begin(), operator_file.session_api->servers.end(),
+                  [](const auto& entry) { return entry.second != "session-1"; });
+  if (has_version_2) servers.emplace_back("session-2");
+  auto translator = std::make_unique<translate::Translator>(clients, servers, operator_file.translate);
   if (!translator->faults().empty()) {
     throw ConfigError("operator file: translate: " + translator->faults().front());
   }
   return translator;
 }
 
-void prepare(Site& site) {
-  site.translator = make_translator(site.setup);
-  if (const auto& setup = site.setup.diameter) {
-    auto& identity = site.identity;
-    identity.host = setup->origin_host;
-    identity.realm = setup->origin_realm;
+void init_shared_parts(RouterContext& context) {
+  context.translator = make_translator(context.operator_file);
+  if (const auto& diameter_config = context.operator_file.diameter) {
+    auto& identity = context.identity;
+    identity.host = diameter_config->origin_host;
+    identity.realm = diameter_config->origin_realm;
     identity.state_id = static_cast<std::uint32_t>(net::Loop::unix_ms() / 1000);
-    identity.watchdog = setup->watchdog;
-    identity.jitter = std::min<Duration>(identity.jitter, setup->watchdog / 5);
-    // RFC 6733: the low part is free, the high 12 bits are of the time.
+    identity.watchdog = diameter_config->watchdog;
+    identity.jitter = std::min<Duration>(identity.jitter, diameter_config->watchdog / 5);
+    // RFC 6733, section 3: the high 12 bits come from the time, the low 20 bits may have any value.
     identity.next_end_to_end =
-        (identity.state_id << 20U) | (static_cast<std::uint32_t>(site.config.seed) & 0xfffffU);
+        (identity.state_id << 20U) | (static_cast<std::uint32_t>(context.config.seed) & 0xfffffU);
   }
 }
 
--- a/src/app/kinds.hpp
+++ b/src/app/kinds.hpp
@@ -1,4 +1,5 @@
-// The one table of fronts and of links to servers. A new kind is entered there; the router itself names none.
+// The tables of frontends and upstream pools. A new protocol is added to them; the router itself names no
+// protocol.
 #pragma once
 
 #include <functional>
@@ -22,52 +23,55 @@
 
 namespace amberknot::app {
 
-/// What every kind is made from. All of it outlives what is made.
-struct Site {
+/// What frontends and upstream pools are created from. All of it outlives them.
+struct RouterContext {
   net::Loop& loop;
   core::CallTable& table;
   core::EndpointRegistry& servers;
   core::Counters& counters;
   const Config& config;
-  const OperatorFile& setup;
-  const net::ResourceLimits& bounds;
+  const OperatorFile& operator_file;
+  const net::ResourceLimits& resource_limits;
   const core::Names& names;
   const Settings& settings;
-  /// The tenant that a User-Name, realm or acquirer belongs to; the text itself where nobody knows it.
+  /// Returns the tenant that a User-Name, realm or acquirer belongs to, or the text itself if it is unknown.
   std::function<std::string(std::string_view)> tenant_of;
-  /// To be told when a server begins or ceases to take new calls, or has started anew.
-  std::function<void(ServerId server, bool started_anew)> on_availability_changed;
-  /// One name and one number space for the Diameter front and links.
+  /// Called when a server starts or stops accepting calls, or was restarted.
+  std::function<void(ServerId server, bool is_restarted)> on_availability_changed;
+  /// Shared by the Diameter frontend and upstream pool: one identity and one range of identifiers.
   diameter::Identity identity = {};
-  /// Null: nothing is translated, and no server speaks the session API.
+  /// Null if no server uses the session API; nothing is translated then.
   std::unique_ptr<translate::Translator> translator = {};
 };
 
+/// A protocol of callers.
 struct FrontendKind {
   std::string_view name;
-  /// Null: the operator's file does not set it up.
-  std::unique_ptr<core::Frontend> (*make)(Site& site);
+  /// Returns null if the operator file does not configure it.
+  std::unique_ptr<core::Frontend> (*make)(RouterContext& context);
 };
 
+/// A protocol of session servers.
 struct UpstreamPoolKind {
   std::string_view name;
-  std::string_view dialect;  ///< of all its servers; empty: each has its own, which the links find out
-  /// Whether the operator's file says that this server speaks it; the last row takes the rest.
-  bool (*speaks)(const OperatorFile& setup, const std::string& server);
-  /// Null: the operator's file does not set it up.
-  std::unique_ptr<core::UpstreamPool> (*make)(Site& site);
+  std::string_view dialect;  ///< of all its servers; empty if the pool detects it for each server
+  /// Whether the operator file assigns the server to this protocol. The last row accepts every server.
+  bool (*is_protocol_of)(const OperatorFile& operator_file, const std::string& server);
+  /// Returns null if the operator file does not configure it.
+  std::unique_ptr<core::UpstreamPool> (*make)(RouterContext& context);
 };
 
-/// The first row is the platform's front.
+/// The first row is the frontend that every platform has: JSON lines.
 std::span<const FrontendKind> frontend_kinds();
+/// The first row whose protocol a server has provides its pool.
 std::span<const UpstreamPoolKind> upstream_pool_kinds();
 
-/// The translator that the operator's file asks for; null: nothing is translated. Throws ConfigError where a
-/// mapping is not total.
-std::unique_ptr<translate::Translator> make_translator(const OperatorFile& setup);
+/// Returns the translator that the operator file requires, or null if nothing is translated. Throws
+/// ConfigError if a mapping does not cover every message.
+std::unique_ptr<translate::Translator> make_translator(const OperatorFile& operator_file);
 
-/// What is made before both: the parts that several kinds share. Throws ConfigError where a mapping is not
-/// total.
-void prepare(Site& site);
+/// Initializes the parts of `context` that several protocols share; called before any frontend or pool is
+/// created. Throws ConfigError if a mapping does not cover every message.
+void init_shared_parts(RouterContext& context);
 
 }  // namespace amberknot::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,5 @@
-// Wires the router's parts together and runs them until a signal ends it.
+// The router's program: reads the configuration, runs the router and handles signals. SIGTERM and SIGINT shut
+// it down gracefully, SIGHUP reloads the configuration, SIGUSR1 prints the counters.
 #include <csignal>
 #include <cstdlib>
 #include <exception>
@@ -14,7 +15,8 @@
 
 using namespace amberknot;
 
-std::string variable(const char* name) {
+/// An environment variable; empty if it is not set.
+std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   return value == nullptr ? std::string() : std::string(value);
 }
@@ -25,21 +27,23 @@
             << " standing=" << router.table().established() << std::endl;
 }
 
-app::Config read_configuration() {
-  return app::read_config(app::read_file(variable("RELAY_CONFIG")), variable("RELAY_NAME"),
-                          variable("RELAY_LISTEN"), variable("RELAY_CONTROL"));
+app::Config load_configuration() {
+  return app::read_config(app::read_file(environment_variable("RELAY_CONFIG")),
+                          environment_variable("RELAY_NAME"), environment_variable("RELAY_LISTEN"),
+                          environment_variable("RELAY_CONTROL"));
 }
 
-// The whole new configuration is read and checked before any of it is applied; a bad one changes nothing.
+// The new configuration is read and checked as a whole before any of it is applied; an invalid one changes
+// nothing.
 void reload(app::Router& router) {
   try {
-    router.reload(read_configuration());
+    router.reload(load_configuration());
   } catch (const std::exception& error) {
     router.reload_failed(error.what());
   }
 }
 
-void watch_signals(asio::signal_set& signals, net::Loop& loop, app::Router& router) {
+void handle_signals(asio::signal_set& signals, net::Loop& loop, app::Router& router) {
   signals.async_wait([&](const asio::error_code& error, int signal) {
     if (error) return;
     if (signal == SIGUSR1) {
@@ -49,29 +53,30 @@
     } else {
       router.shut_down([&loop] { loop.io.stop(); });
     }
-    watch_signals(signals, loop, router);
+    handle_signals(signals, loop, router);
   });
 }
 
-/// `--operator FILE`, or nothing.
-app::OperatorFile read_operator(int count, char** words) {
-  if (count == 1) return {};
-  if (count != 3 || std::string(words[1]) != "--operator") {
+/// Reads the file given by `--operator FILE`; without that option, returns an empty operator file.
+app::OperatorFile load_operator_file(int argc, char** argv) {
+  if (argc == 1) return {};
+  if (argc != 3 || std::string(argv[1]) != "--operator") {
     throw app::ConfigError("usage: amberknot_router [--operator FILE]");
   }
-  return app::read_operator_file(app::read_file(words[2]));
+  return app::read_operator_file(app::read_file(argv[2]));
 }
 
-int run(const app::OperatorFile& setup) {
-  net::log::set_level(variable("RELAY_LOG"));
+int run(const app::OperatorFile& operator_file) {
+  net::log::set_level(environment_variable("RELAY_LOG"));
   net::Loop loop;
-  // Caught before anything is served: unhandled, each of these would end the program.
+  // The handlers are installed before anything is served: without a handler, each of these signals would end
+  // the program.
   asio::signal_set signals(loop.io, SIGTERM, SIGINT, SIGUSR1);
   signals.add(SIGHUP);
-  const auto config = read_configuration();
-  app::Router router(loop, config, setup);
-  router.declare(variable("TMPDIR"));
-  watch_signals(signals, loop, router);
+  const auto config = load_configuration();
+  app::Router router(loop, config, operator_file);
+  router.join_hot_restart(environment_variable("TMPDIR"));
+  handle_signals(signals, loop, router);
   net::log::info(config.name, " serves callers at ", router.callers_at());
   loop.io.run();
   print_counters(router);
@@ -80,10 +85,10 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    return run(read_operator(count, words));
+    return run(load_operator_file(argc, argv));
   } catch (const std::exception& error) {
     std::cerr << error.what() << std::endl;
     return 2;
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -11,58 +11,65 @@
 
 using std::chrono::milliseconds;
 
-[[noreturn]] void wrong(const std::string& field, const char* what) {
+[[noreturn]] void throw_field_error(const std::string& field, const char* what) {
   throw ConfigError("operator file: " + field + ": " + what);
 }
 
-/// One object of the file, whose members are asked for by name; a name that nobody asks for is a slip.
+/// One object of the file. A member whose name is not in the list of fields is an error, so that a misspelled
+/// name is noticed.
 class Section {
  public:
   Section(const rapidjson::Value& value, std::string path, std::initializer_list<std::string_view> fields)
       : value_(value), path_(std::move(path)) {
-    if (!value.IsObject()) wrong(path_, "is not an object");
+    if (!value.IsObject()) throw_field_error(path_, "is not an object");
     for (const auto& item : value.GetObject()) {
       if (std::find(fields.begin(), fields.end(), settings::text_of(item.name)) == fields.end()) {
-        wrong(path_ + "." + std::string(settings::text_of(item.name)), "is not known");
+        throw_field_error(path_ + "." + std::string(settings::text_of(item.name)), "is not a known field");
       }
     }
   }
 
+  /// The member's value, or null if the member is absent.
   [[nodiscard]] const rapidjson::Value* find(const char* name) const {
     return settings::member(value_, name);
   }
+  /// The member's full name, for error messages.
   [[nodiscard]] std::string field(const char* name) const { return path_ + "." + name; }
 
-  [[nodiscard]] std::string text(const char* name,
-                                 std::optional<std::string> otherwise = std::nullopt) const {
+  /// A non-empty string. Required if there is no default value.
+  [[nodiscard]] std::string string_value(const char* name,
+                                         std::optional<std::string> default_value = std::nullopt) const {
     const auto* value = find(name);
-    if (value == nullptr && otherwise) return *otherwise;
-    if (value == nullptr) wrong(field(name), "is missing");
-    const auto read = settings::text_of(*value);
-    if (read.empty()) wrong(field(name), "is not a text");
-    return std::string(read);
+    if (value == nullptr && default_value) return *default_value;
+    if (value == nullptr) throw_field_error(field(name), "is missing");
+    const auto text = settings::text_of(*value);
+    if (text.empty()) throw_field_error(field(name), "is not a non-empty string");
+    return std::string(text);
   }
 
-  [[nodiscard]] milliseconds time(const char* name, milliseconds otherwise, milliseconds least) const {
+  /// A time in milliseconds, from `min` to one day.
+  [[nodiscard]] milliseconds duration(const char* name, milliseconds default_value, milliseconds min) const {
     const auto* value = find(name);
-    if (value == nullptr) return otherwise;
-    const auto read = settings::number_of(settings::text_of(*value));
-    constexpr double kMax = 86'400'000;
-    if (!read || *read < static_cast<double>(least.count()) || *read > kMax)
-      wrong(field(name), "is out of range");
-    return milliseconds{static_cast<std::int64_t>(*read)};
+    if (value == nullptr) return default_value;
+    const auto ms = settings::number_of(settings::text_of(*value));
+    constexpr double kMaxMs = 86'400'000;
+    if (!ms || *ms < static_cast<double>(min.count()) || *ms > kMaxMs)
+      throw_field_error(field(name), "is not a time in ms within the allowed range");
+    return milliseconds{static_cast<std::int64_t>(*ms)};
   }
 
-  [[nodiscard]] std::set<std::string> texts(const char* name) const {
-    std::set<std::string> read;
+  /// An array of non-empty strings; empty if the member is absent.
+  [[nodiscard]] std::set<std::string> string_set(const char* name) const {
+    std::set<std::string> strings;
     const auto* value = find(name);
-    if (value == nullptr) return read;
-    if (!value->IsArray()) wrong(field(name), "is not a list");
+    if (value == nullptr) return strings;
+    if (!value->IsArray()) throw_field_error(field(name), "is not an array");
     for (const auto& item : value->GetArray()) {
-      if (settings::text_of(item).empty()) wrong(field(name), "holds something that is not a text");
-      read.emplace(settings::text_of(item));
+      if (settings::text_of(item).empty())
+        throw_field_error(field(name), "holds an element that is not a non-empty string");
+      strings.emplace(settings::text_of(item));
     }
-    return read;
+    return strings;
   }
 
  private:
@@ -70,31 +77,31 @@
   std::string path_;
 };
 
-DiameterSetup read_diameter(const rapidjson::Value& value) {
+DiameterConfig read_diameter(const rapidjson::Value& value) {
   const Section section(
       value, "diameter",
       {"origin_host", "origin_realm", "listen", "clients", "servers", "watchdog_ms", "tenants"});
-  DiameterSetup setup;
-  setup.origin_host = section.text("origin_host");
-  setup.origin_realm = section.text("origin_realm");
+  DiameterConfig config;
+  config.origin_host = section.string_value("origin_host");
+  config.origin_realm = section.string_value("origin_realm");
   if (section.find("listen") != nullptr) {
-    setup.listen = net::read_endpoint(section.text("listen"));
-    if (!setup.listen) wrong(section.field("listen"), "is not an address with a port");
+    config.listen = net::read_endpoint(section.string_value("listen"));
+    if (!config.listen) throw_field_error(section.field("listen"), "is not an IP address with a port");
   }
-  setup.clients = section.texts("clients");
-  setup.servers = section.texts("servers");
-  // RFC 3539: no less than six seconds.
-  setup.watchdog = section.time("watchdog_ms", setup.watchdog, milliseconds{6000});
+  config.clients = section.string_set("clients");
+  config.servers = section.string_set("servers");
+  // RFC 3539, section 3.4.1: the watchdog interval must not be below 6 s.
+  config.watchdog = section.duration("watchdog_ms", config.watchdog, milliseconds{6000});
   if (const auto* tenants = section.find("tenants")) {
-    if (!tenants->IsObject()) wrong(section.field("tenants"), "is not an object");
+    if (!tenants->IsObject()) throw_field_error(section.field("tenants"), "is not an object");
     for (const auto& item : tenants->GetObject()) {
       const auto name = std::string(settings::text_of(item.name));
       if (settings::text_of(item.value).empty())
-        wrong(section.field("tenants") + "." + name, "is not a text");
-      setup.tenants.emplace(name, settings::text_of(item.value));
+        throw_field_error(section.field("tenants") + "." + name, "is not a non-empty string");
+      config.tenants.emplace(name, settings::text_of(item.value));
     }
   }
-  return setup;
+  return config;
 }
 
 directory::LdapSource read_ldap(const rapidjson::Value& value) {
@@ -102,36 +109,37 @@
                         {"url", "base", "filter", "bind_dn", "password_file", "key_attribute",
                          "tenant_attribute", "timeout_ms", "refresh_ms"});
   directory::LdapSource source;
-  source.url = section.text("url");
+  source.url = section.string_value("url");
   if (source.url.rfind("ldap://", 0) != 0 && source.url.rfind("ldaps://", 0) != 0) {
-    wrong(section.field("url"), "is not an ldap:// or ldaps:// address");
+    throw_field_error(section.field("url"), "is not an ldap:// or ldaps:// address");
   }
-  source.base = section.text("base");
-  source.filter = section.text("filter", source.filter);
-  source.bind_dn = section.text("bind_dn", "");
-  source.password_file = section.text("password_file", "");
-  source.key_attribute = section.text("key_attribute");
-  source.tenant_attribute = section.text("tenant_attribute");
-  source.timeout = section.time("timeout_ms", source.timeout, milliseconds{100});
-  source.refresh = section.time("refresh_ms", source.refresh, milliseconds{1000});
+  source.base = section.string_value("base");
+  source.filter = section.string_value("filter", source.filter);
+  source.bind_dn = section.string_value("bind_dn", "");
+  source.password_file = section.string_value("password_file", "");
+  source.key_attribute = section.string_value("key_attribute");
+  source.tenant_attribute = section.string_value("tenant_attribute");
+  source.timeout = section.duration("timeout_ms", source.timeout, milliseconds{100});
+  source.refresh = section.duration("refresh_ms", source.refresh, milliseconds{1000});
   return source;
 }
 
-SessionApiSetup read_session_api(const rapidjson::Value& value) {
+SessionApiConfig read_session_api(const rapidjson::Value& value) {
   const Section section(value, "session_api", {"servers"});
-  SessionApiSetup setup;
+  SessionApiConfig config;
   const auto* servers = section.find("servers");
-  if (servers == nullptr) wrong(section.field("servers"), "is missing");
-  if (!servers->IsObject() || servers->ObjectEmpty()) wrong(section.field("servers"), "names no server");
+  if (servers == nullptr) throw_field_error(section.field("servers"), "is missing");
+  if (!servers->IsObject() || servers->ObjectEmpty())
+    throw_field_error(section.field("servers"), "names no server");
   for (const auto& item : servers->GetObject()) {
     const auto name = std::string(settings::text_of(item.name));
-    const auto speaks = settings::text_of(item.value);
-    if (speaks != "learn" && speaks != "session-1" && speaks != "session-2") {
-      wrong(section.field("servers") + "." + name, "is none of learn, session-1, session-2");
+    const auto version = settings::text_of(item.value);
+    if (version != "learn" && version != "session-1" && version != "session-2") {
+      throw_field_error(section.field("servers") + "." + name, "is none of learn, session-1, session-2");
     }
-    setup.servers.emplace(name, speaks);
+    config.servers.emplace(name, version);
   }
-  return setup;
+  return config;
 }
 
 }  // namespace
@@ -140,18 +148,19 @@
   rapidjson::Document document;
   if (!settings::parse_in_place(json, document)) throw ConfigError("operator file: not JSON");
   const Section file(document, "file", {"diameter", "ldap", "session_api", "translate"});
-  OperatorFile read;
-  if (const auto* diameter = file.find("diameter")) read.diameter = read_diameter(*diameter);
-  if (const auto* session_api = file.find("session_api")) read.session_api = read_session_api(*session_api);
+  OperatorFile operator_file;
+  if (const auto* diameter = file.find("diameter")) operator_file.diameter = read_diameter(*diameter);
+  if (const auto* session_api = file.find("session_api"))
+    operator_file.session_api = read_session_api(*session_api);
   if (const auto* table = file.find("translate")) {
-    const auto faults = translate::read_table(*table, read.translate);
+    const auto faults = translate::read_table(*table, operator_file.translate);
     if (!faults.empty()) throw ConfigError("operator file: " + faults.front());
   }
-  if (const auto* ldap = file.find("ldap")) read.ldap = read_ldap(*ldap);
-  if (read.ldap && !(read.diameter && read.diameter->listen)) {
-    throw ConfigError("operator file: ldap: serves Diameter clients only, and diameter.listen is missing");
+  if (const auto* ldap = file.find("ldap")) operator_file.ldap = read_ldap(*ldap);
+  if (operator_file.ldap && !(operator_file.diameter && operator_file.diameter->listen)) {
+    throw ConfigError("operator file: ldap: used for Diameter clients only, but diameter.listen is missing");
   }
-  return read;
+  return operator_file;
 }
 
 }  // namespace amberknot::app
--- a/src/app/operator_file.hpp
+++ b/src/app/operator_file.hpp
@@ -1,5 +1,6 @@
-// The operator's file: what the platform does not say. It sets up the Diameter front and peers, servers of
-// the session API, translation and the tenants' directory; without it none is there.
+// The operator file: settings that the platform's configuration does not have. It configures the Diameter
+// frontend and peers, servers of the session API, translation and the tenant directory; without the file none
+// of these is used.
 #pragma once
 
 #include <asio.hpp>
@@ -14,40 +15,43 @@
 
 namespace amberknot::app {
 
-struct DiameterSetup {
+/// The Diameter frontend and the session servers that use Diameter.
+struct DiameterConfig {
   std::string origin_host;
   std::string origin_realm;
-  std::optional<asio::ip::tcp::endpoint> listen;  ///< of the callers' second front
-  std::set<std::string> clients;                  ///< Origin-Hosts that are admitted; empty: any
-  std::set<std::string> servers;                  ///< names of session servers that speak Diameter; `*`: all
-  std::chrono::milliseconds watchdog{30'000};
-  std::map<std::string, std::string, std::less<>> tenants;  ///< by User-Name or realm
+  std::optional<asio::ip::tcp::endpoint> listen;  ///< the frontend for Diameter clients
+  std::set<std::string> clients;                  ///< Origin-Hosts that are admitted; empty admits any
+  std::set<std::string> servers;               ///< names of session servers that use Diameter; `*` means all
+  std::chrono::milliseconds watchdog{30'000};  ///< interval (Tw of RFC 3539)
+  std::map<std::string, std::string, std::less<>> tenants;  ///< tenant names by User-Name or realm
 
   [[nodiscard]] bool is_diameter_server(const std::string& server) const {
     return servers.contains(server) || servers.contains("*");
   }
 };
 
-/// Which session servers speak the session API, and which version; `*`: all others.
-struct SessionApiSetup {
-  /// "learn", "session-1" or "session-2", by the server's name.
+/// Which session servers use the session API, and which version of it; `*` stands for all others.
+struct SessionApiConfig {
+  /// `session-1`, `session-2` or `learn` (detect the version), by the server's name.
   std::map<std::string, std::string, std::less<>> servers;
 
-  [[nodiscard]] const std::string* of(const std::string& server) const {
+  /// The entry for a server; null if it does not use the session API.
+  [[nodiscard]] const std::string* version_of(const std::string& server) const {
     auto found = servers.find(server);
     if (found == servers.end()) found = servers.find("*");
     return found != servers.end() ? &found->second : nullptr;
   }
 };
 
+/// The file's sections; one that is absent leaves its feature unused.
 struct OperatorFile {
-  std::optional<DiameterSetup> diameter;
-  std::optional<SessionApiSetup> session_api;
+  std::optional<DiameterConfig> diameter;
+  std::optional<SessionApiConfig> session_api;
   translate::Table translate;
   std::optional<directory::LdapSource> ldap;
 };
 
-/// Throws ConfigError, whose text names the field.
+/// Parses and checks an operator file. Throws ConfigError, whose text names the field.
 OperatorFile read_operator_file(std::string json);
 
 }  // namespace amberknot::app
--- a/src/app/router.cpp
+++ b/src/app/router.cpp
@@ -13,38 +13,38 @@
 
 using std::chrono::milliseconds;
 
-// How often a process looks for what the one that it replaces has left to tell: callers are owed it within 1
-// s.
+// How often a process loads the releases that the process it replaces has stored. Callers must receive them
+// within 1 s.
 constexpr Duration kStoredReleasesInterval = milliseconds{50};
 constexpr Duration kExitCheckInterval = milliseconds{20};
-constexpr Duration kForgetInterval = std::chrono::seconds{5};
+constexpr Duration kForgetRemovedInterval = std::chrono::seconds{5};
 
 }  // namespace
 
-Router::Router(net::Loop& loop, const Config& config, const OperatorFile& setup)
+Router::Router(net::Loop& loop, const Config& config, const OperatorFile& operator_file)
     : loop_(loop),
       config_(config),
       names_(config.names),
-      bounds_(net::ResourceLimits::of(config.memory_mb, config.sockets)),
+      resource_limits_(net::ResourceLimits::of(config.memory_mb, config.sockets)),
       dispatcher_(config.settings, net::Loop::now()),
       table_(dispatcher_, servers_, loop.wheel, counters_, &net::Loop::now),
-      setup_(setup),
-      site_{loop,
-            table_,
-            servers_,
-            counters_,
-            config_,
-            setup_,
-            bounds_,
-            names_,
-            dispatcher_.settings(),
-            [this](std::string_view user) { return tenant_of(user); },
-            [this](ServerId id, bool started_anew) {
-              endpoint_updates_.on_availability_changed(id, started_anew);
-            }},
-      endpoint_updates_(site_, upstream_pools_) {
-  loop.outgoing.most = bounds_.queued;
-  loop.outgoing.max_on_one = bounds_.queued_on_one;
+      operator_file_(operator_file),
+      context_{loop,
+               table_,
+               servers_,
+               counters_,
+               config_,
+               operator_file_,
+               resource_limits_,
+               names_,
+               dispatcher_.settings(),
+               [this](std::string_view user) { return tenant_of(user); },
+               [this](ServerId id, bool is_restarted) {
+                 endpoint_updates_.on_availability_changed(id, is_restarted);
+               }},
+      endpoint_updates_(context_, upstream_pools_) {
+  loop.outgoing.most = resource_limits_.queued;
+  loop.outgoing.max_on_one = resource_limits_.queued_on_one;
   if (config.settings.limits.peers && config.peer_listen && config.peers_all) {
     gossip_ = std::make_unique<discovery::GossipTransport>(
         loop, *config.peer_listen, config.peers, *config.peers_all,
@@ -57,23 +57,23 @@
         if (gossip_) gossip_->broadcast(bytes);
       },
       [](const std::string& text) { net::log::info(text); });
-  prepare(site_);
-  for (const auto& kind : upstream_pool_kinds()) upstream_pools_.push_back(kind.make(site_));
-  if (setup_.ldap) follow_directory();
-  for (const auto& kind : frontend_kinds()) frontends_.push_back(kind.make(site_));
-  for (const auto& news : config.known) apply(news);
-  config_.known.clear();  // told; a reload brings its own
+  init_shared_parts(context_);
+  for (const auto& kind : upstream_pool_kinds()) upstream_pools_.push_back(kind.make(context_));
+  if (operator_file_.ldap) start_directory_refresh();
+  for (const auto& kind : frontend_kinds()) frontends_.push_back(kind.make(context_));
+  for (const auto& update : config.known) apply(update);
+  config_.known.clear();  // applied above; a reload brings its own list
   endpoint_watcher_ = std::make_unique<discovery::EndpointWatcher>(
       loop, counters_, config.channel, config.cursor,
-      [this](const discovery::EndpointUpdate& news) { apply(news); });
-  schedule_forgetting();
+      [this](const discovery::EndpointUpdate& update) { apply(update); });
+  schedule_forget_removed();
   if (config.control) {
-    // Its own connection limit, beside the callers' and the servers': a sixteenth of the descriptors, at
-    // least eight.
+    // Admin connections have a limit of their own, apart from those for callers and servers: a sixteenth of
+    // the sockets, but at least eight.
     const std::size_t max_connections = std::max<std::size_t>(8, config.sockets / 16);
     admin_server_ = std::make_unique<admin::AdminServer>(
         loop, *config.control, max_connections, [this](admin::Command command) { return answer(command); });
-    net::log::info("control: the operators' door is at ", net::text_of(admin_server_->local_endpoint()));
+    net::log::info("admin: listening at ", net::text_of(admin_server_->local_endpoint()));
   }
 }
 
@@ -112,27 +112,27 @@
   return "-ERR unknown call";
 }
 
-void Router::follow_directory() {
+void Router::start_directory_refresh() {
   std::string error;
-  // Serving without the directory is better than not at all: whom it would name is refused until it
-  // answers.
-  if (auto read = directory::read_tenants(*setup_.ldap, error)) {
-    directory_ = std::move(*read);
-    net::log::info("directory: ", directory_.size(), " tenants' names");
+  // A router without the directory still serves other clients, so a failed read does not stop it. Clients
+  // that only the directory knows are rejected until a refresh succeeds.
+  if (auto tenants = directory::read_tenants(*operator_file_.ldap, error)) {
+    directory_ = std::move(*tenants);
+    net::log::info("directory: loaded ", directory_.size(), " tenant names");
   } else {
     ++counters_.directory_failures;
-    net::log::error("directory: not read at the start: ", error);
+    net::log::error("directory: initial read failed, starting without it: ", error);
   }
   refresher_ = std::make_unique<directory::Refresher>(
-      *setup_.ldap, [this](std::optional<directory::TenantMap> tenants, const std::string& failed) {
-        asio::post(loop_.io, [this, tenants = std::move(tenants), failed]() mutable {
+      *operator_file_.ldap, [this](std::optional<directory::TenantMap> tenants, const std::string& reason) {
+        asio::post(loop_.io, [this, tenants = std::move(tenants), reason]() mutable {
           if (!tenants) {
             ++counters_.directory_failures;
-            net::log::warn("directory: not refreshed, the last good copy stays: ", failed);
+            net::log::warn("directory: refresh failed, keeping the last good copy: ", reason);
             return;
           }
           if (*tenants != directory_)
-            net::log::info("directory: changed, ", tenants->size(), " tenants' names");
+            net::log::info("directory: changed, ", tenants->size(), " tenant names");
           directory_ = std::move(*tenants);
         });
       });
@@ -144,7 +144,7 @@
   return open;
 }
 
-std::optional<asio::ip::tcp::endpoint> Router::frontend_at(std::string_view name) const {
+std::optional<asio::ip::tcp::endpoint> Router::frontend_endpoint(std::string_view name) const {
   const auto kinds = frontend_kinds();
   for (std::size_t i = 0; i < kinds.size(); ++i) {
     if (kinds[i].name == name && frontends_[i]) return net::read_endpoint(frontends_[i]->listen_address());
@@ -154,64 +154,66 @@
 
 std::string Router::tenant_of(std::string_view user) const {
   if (const auto found = directory_.find(user); found != directory_.end()) return found->second;
-  if (setup_.diameter) {
-    const auto found = setup_.diameter->tenants.find(user);
-    if (found != setup_.diameter->tenants.end()) return found->second;
+  if (operator_file_.diameter) {
+    const auto found = operator_file_.diameter->tenants.find(user);
+    if (found != operator_file_.diameter->tenants.end()) return found->second;
   }
-  return std::string(user);  // the tenant's own name
+  return std::string(user);  // unknown: taken as the tenant's own name
 }
 
-void Router::schedule_forgetting() {
-  loop_.after(kForgetInterval, [this] {
+void Router::schedule_forget_removed() {
+  loop_.after(kForgetRemovedInterval, [this] {
     endpoint_updates_.forget_removed(net::Loop::now());
-    schedule_forgetting();
+    schedule_forget_removed();
   });
 }
 
-void Router::reload(const Config& fresh) {
+void Router::reload(const Config& new_config) {
   ++counters_.reloads;
   const auto reject = [](const char* field) {
-    net::log::warn("reload: ", field, " is changed: refused, it takes a restart");
+    net::log::warn("reload: ", field, " has changed: not applied, requires a restart");
   };
-  if (fresh.name != config_.name) reject("name");
-  if (fresh.listen != config_.listen) reject("listen");
-  if (fresh.peer_listen != config_.peer_listen) reject("peer_listen");
-  if (fresh.settings_text != config_.settings_text) {
-    // Checked whole when it was read; what the router cannot change at run time stays and is said.
-    auto plan = core::plan_reload(names_, dispatcher_.settings(), fresh.names, fresh.settings);
+  if (new_config.name != config_.name) reject("name");
+  if (new_config.listen != config_.listen) reject("listen");
+  if (new_config.peer_listen != config_.peer_listen) reject("peer_listen");
+  if (new_config.settings_text != config_.settings_text) {
+    // The settings were checked when they were read. Those that cannot change at run time keep their values
+    // and are logged.
+    auto plan = core::plan_reload(names_, dispatcher_.settings(), new_config.names, new_config.settings);
     names_ = std::move(plan.names);
     dispatcher_.apply_reload(plan.classes, plan.limits);
-    config_.settings_text = fresh.settings_text;
+    config_.settings_text = new_config.settings_text;
     for (const auto& note : plan.notes) net::log::info("reload: ", note);
     for (const auto& setting : plan.requires_restart) reject(setting.c_str());
   }
-  if (fresh.sockets != config_.sockets || fresh.memory_mb != config_.memory_mb) reject("limits");
-  if (fresh.peers != config_.peers || fresh.peers_all != config_.peers_all) {
-    if (gossip_ && fresh.peers_all) {
-      gossip_->set_peers(fresh.peers, *fresh.peers_all);
-      config_.peers = fresh.peers;
-      config_.peers_all = fresh.peers_all;
-      net::log::info("reload: ", fresh.peers.size(), " siblings");
+  if (new_config.sockets != config_.sockets || new_config.memory_mb != config_.memory_mb) reject("limits");
+  if (new_config.peers != config_.peers || new_config.peers_all != config_.peers_all) {
+    if (gossip_ && new_config.peers_all) {
+      gossip_->set_peers(new_config.peers, *new_config.peers_all);
+      config_.peers = new_config.peers;
+      config_.peers_all = new_config.peers_all;
+      net::log::info("reload: now gossiping with ", new_config.peers.size(), " peers");
     } else {
       reject("peers");
     }
   }
-  for (const auto& update : fresh.known) endpoint_watcher_->apply_update(update);
-  endpoint_watcher_->reconnect_to(fresh.channel);
-  config_.channel = fresh.channel;
-  net::log::info("reload: done");
+  for (const auto& update : new_config.known) endpoint_watcher_->apply_update(update);
+  endpoint_watcher_->reconnect_to(new_config.channel);
+  config_.channel = new_config.channel;
+  net::log::info("reload: configuration applied");
 }
 
-void Router::reload_failed(std::string_view why) {
+void Router::reload_failed(std::string_view reason) {
   ++counters_.reloads_failed;
-  net::log::error("reload: not taken, the configuration in force stays: ", why);
+  net::log::error("reload: new configuration rejected, keeping the current one: ", reason);
 }
 
-void Router::declare(const std::string& folder) {
+void Router::join_hot_restart(const std::string& folder) {
   auto acquired = hot_restart::InstanceLock::acquire(
       folder, {config_.name, net::text_of(callers_at()), net::Loop::unix_us()});
   if (const auto* error = std::get_if<hot_restart::StorageError>(&acquired)) {
-    net::log::info("a replacement will not be noticed: ", error->message);
+    net::log::info("hot restart: no instance record, a replacement of this process will not be detected: ",
+                   error->message);
     return;
   }
   instance_lock_.emplace(std::get<hot_restart::InstanceLock>(std::move(acquired)));
@@ -223,51 +225,57 @@
   if (!instance_lock_) return false;
   const auto others = instance_lock_->others();
   if (others.unreadable_files > 0) {
-    net::log::warn("files of other processes in TMPDIR not readable: ", others.unreadable_files);
+    net::log::warn("hot restart: unreadable instance records of other processes in TMPDIR, ignored: ",
+                   others.unreadable_files);
   }
   return core::is_replaced_by_any(instance_lock_->self(), others.records);
 }
 
-// As long as the process that this one replaces lives, and once more after it: it may have left some at its
-// end.
+// Repeated while the process that this one replaces is alive, and once after it has ended, since it may store
+// releases at its exit.
 void Router::deliver_stored_releases() {
-  const bool more = core::replaces_any(instance_lock_->self(), instance_lock_->others().records);
+  const bool is_replacing = core::replaces_any(instance_lock_->self(), instance_lock_->others().records);
   const auto loaded = hot_restart::load_releases(shared_folder_, instance_lock_->self());
   if (loaded.unreadable_files > 0) {
-    net::log::warn("releases of a replaced process not readable: ", loaded.unreadable_files, " files");
+    net::log::warn("hot restart: unreadable stored releases, discarded: ", loaded.unreadable_files, " files");
   }
   for (const auto& release : loaded.releases) {
     for (const auto& frontend : frontends_) {
       if (frontend) frontend->deliver_release(release);
     }
   }
-  if (more) loop_.after(kStoredReleasesInterval, [this] { deliver_stored_releases(); });
+  if (is_replacing) loop_.after(kStoredReleasesInterval, [this] { deliver_stored_releases(); });
 }
 
 void Router::store_undelivered_releases() {
   if (undelivered_releases_.empty()) return;
   if (const auto error =
           hot_restart::store_releases(shared_folder_, instance_lock_->self(), undelivered_releases_)) {
-    // What is left is kept, and tried again at the next look: a full folder may have room by then.
-    net::log::warn(store_failures_log_, "releases not left for the other process: ", error->message);
+    // Releases that were not stored are kept and stored by the next check: a full disk may have room by then.
+    net::log::warn(
+        store_failures_log_,
+        "hot restart: cannot store releases for the replacement process, will retry: ", error->message);
   }
 }
 
 void Router::shut_down(std::function<void()> done) {
   if (on_exit_) return;
   on_exit_ = std::move(done);
-  // `status` says no from now on. Where nobody has taken over, the callers' connections stay and what comes
-  // is answered; else callers are to go to the other process at once.
-  const bool replaced = is_replaced();
-  shutdown_plan_ = core::GracefulShutdown::plan(net::Loop::now(), dispatcher_.longest_deadline(), replaced);
+  // From now on `status` reports that the router is stopping. If no other process has taken over, connections
+  // of callers stay open and new requests are answered; otherwise callers are moved to the other process at
+  // once.
+  const bool was_replaced = is_replaced();
+  shutdown_plan_ =
+      core::GracefulShutdown::plan(net::Loop::now(), dispatcher_.longest_deadline(), was_replaced);
   table_.begin_shutdown(shutdown_plan_);
-  net::log::info("stopping: ", table_.unanswered(), " unanswered, ", table_.established(), " standing",
-                 replaced ? ", replaced" : "");
-  if (replaced) {
+  net::log::info("shutdown: stopping with ", table_.unanswered(), " unanswered and ", table_.established(),
+                 " established calls", was_replaced ? ", replaced by another process" : "");
+  if (was_replaced) {
     for (const auto& frontend : frontends_) {
       if (frontend)
-        frontend->begin_hot_restart(
-            [this](core::UndeliveredRelease one) { undelivered_releases_.push_back(std::move(one)); });
+        frontend->begin_hot_restart([this](core::UndeliveredRelease release) {
+          undelivered_releases_.push_back(std::move(release));
+        });
     }
   }
   check_exit();
@@ -276,9 +284,10 @@
 void Router::check_exit() {
   const Instant now = net::Loop::now();
   store_undelivered_releases();
-  const bool settled = std::all_of(frontends_.begin(), frontends_.end(),
-                                   [](const auto& frontend) { return !frontend || frontend->is_settled(); });
-  if (shutdown_plan_.may_exit(now, table_.unanswered(), table_.established(), !settled)) {
+  const bool all_settled = std::all_of(frontends_.begin(), frontends_.end(), [](const auto& frontend) {
+    return !frontend || frontend->is_settled();
+  });
+  if (shutdown_plan_.may_exit(now, table_.unanswered(), table_.established(), !all_settled)) {
     table_.release_all();
     store_undelivered_releases();
     for (const auto& frontend : frontends_) {
@@ -293,16 +302,17 @@
   loop_.after(kExitCheckInterval, [this] { check_exit(); });
 }
 
-// A process that ends with input unread resets its connections, and a reset may overtake the last answer:
-// each is closed by its caller first, or its time is up.
-void Router::exit_when_closed(Instant by) {
-  const bool closed = std::all_of(frontends_.begin(), frontends_.end(),
-                                  [](const auto& frontend) { return !frontend || frontend->is_closed(); });
-  if (closed || net::Loop::now() >= by) {
+// A process that exits with unread input resets its connections, and a caller may see the reset before the
+// last answer. Therefore callers close their connections first, or the time limit passes.
+void Router::exit_when_closed(Instant deadline) {
+  const bool all_closed = std::all_of(frontends_.begin(), frontends_.end(), [](const auto& frontend) {
+    return !frontend || frontend->is_closed();
+  });
+  if (all_closed || net::Loop::now() >= deadline) {
     on_exit_();
     return;
   }
-  loop_.after(core::TimerWheel::kTick, [this, by] { exit_when_closed(by); });
+  loop_.after(core::TimerWheel::kTick, [this, deadline] { exit_when_closed(deadline); });
 }
 
 }  // namespace amberknot::app
--- a/src/app/router.hpp
+++ b/src/app/router.hpp
@@ -1,4 +1,5 @@
-// The whole router in one object: the core, its callers' fronts, its server links and the command channel.
+// The router as one object: the core, frontends, upstream pools, endpoint discovery, admin server and hot
+// restart.
 #pragma once
 
 #include <functional>
@@ -25,80 +26,92 @@
 
 namespace amberknot::app {
 
+/// Serves calls from its construction on. Used on the event loop's thread only.
 class Router {
  public:
-  Router(net::Loop& loop, const Config& config, const OperatorFile& setup = {});
+  /// Listens for callers and connects to servers and to the command channel. Throws ConfigError if the
+  /// operator file is invalid and `std::system_error` if an address cannot be used.
+  Router(net::Loop& loop, const Config& config, const OperatorFile& operator_file = {});
 
-  /// Goes on serving until all that was taken is answered, then releases what stands and calls `done`.
+  /// Serves until every accepted call is answered, then releases established calls and calls `done`. Further
+  /// calls of this function have no effect.
   void shut_down(std::function<void()> done);
-  /// Says in a folder that the process shares with the one that it replaces, or that will replace it, that it
-  /// serves. Takes what a process that it replaces has left to tell.
-  void declare(const std::string& folder);
-  /// Takes over a new configuration, read and checked whole. What a running program cannot change is refused
-  /// aloud and stays as it was.
-  void reload(const Config& fresh);
-  /// A new configuration could not be read: the one in force stays.
-  void reload_failed(std::string_view why);
-  /// Forgets the servers that had been gone for long by then and that nothing refers to.
+  /// Records in `folder`, which successive processes of a router share, that this process serves, so that a
+  /// replacement is detected. Delivers the releases that a replaced process has stored there.
+  void join_hot_restart(const std::string& folder);
+  /// Applies a new configuration, which has been read and checked. A change that requires a restart is logged
+  /// and not applied.
+  void reload(const Config& new_config);
+  /// Counts and logs that a new configuration is invalid; the current one stays in force.
+  void reload_failed(std::string_view reason);
+  /// Deletes the entries of servers whose retention time has passed at `now` and that no call refers to.
   void forget_removed(Instant now) { endpoint_updates_.forget_removed(now); }
-  /// Standby sends callers away, active takes them again, as the admin server's commands say.
+  /// Turns standby on (connections of callers are drained) or off (callers are accepted again), as the admin
+  /// commands `standby` and `active` do.
   void standby(bool on);
-  /// Whether this process takes clients: it has started, and is neither in standby nor stopping.
+  /// Whether this process accepts clients: it is neither in standby nor shutting down.
   [[nodiscard]] bool ready() const { return !standby_ && !on_exit_; }
-  /// The reply to one admin command, without its line feed.
+  /// Executes an admin command and returns the reply without its last line feed.
   [[nodiscard]] std::string answer(admin::Command command);
-  [[nodiscard]] std::optional<asio::ip::tcp::endpoint> control_at() const {
+  /// Where the admin server listens; empty if it is not configured.
+  [[nodiscard]] std::optional<asio::ip::tcp::endpoint> admin_endpoint() const {
     return admin_server_ ? std::optional(admin_server_->local_endpoint()) : std::nullopt;
   }
-  /// News of the servers, as from the command channel.
+  /// Applies an endpoint update, as from the command channel.
   void apply(const discovery::EndpointUpdate& update) { endpoint_updates_.apply(update); }
 
   [[nodiscard]] const core::Counters& counters() const { return counters_; }
   [[nodiscard]] const core::CallTable& table() const { return table_; }
   [[nodiscard]] const core::EndpointRegistry& servers() const { return servers_; }
-  /// Open connections of callers, by whatever front.
+  /// The number of open connections of callers at all frontends.
   [[nodiscard]] std::size_t callers() const;
-  /// Where the front of that name in the table of kinds listens; empty: it is not set up.
-  [[nodiscard]] std::optional<asio::ip::tcp::endpoint> frontend_at(std::string_view name) const;
-  [[nodiscard]] asio::ip::tcp::endpoint callers_at() const { return *frontend_at(frontend_kinds()[0].name); }
-  [[nodiscard]] std::optional<asio::ip::tcp::endpoint> diameter_at() const { return frontend_at("diameter"); }
-  /// The tenant that a Diameter client's User-Name or realm belongs to, by the directory or the operator's
-  /// file.
+  /// Where the frontend of that name (see frontend_kinds()) listens; empty if it is not configured.
+  [[nodiscard]] std::optional<asio::ip::tcp::endpoint> frontend_endpoint(std::string_view name) const;
+  /// Where callers over JSON lines connect.
+  [[nodiscard]] asio::ip::tcp::endpoint callers_at() const {
+    return *frontend_endpoint(frontend_kinds()[0].name);
+  }
+  /// Where Diameter clients connect; empty if that frontend is not configured.
+  [[nodiscard]] std::optional<asio::ip::tcp::endpoint> diameter_at() const {
+    return frontend_endpoint("diameter");
+  }
+  /// The tenant that a User-Name, realm or acquirer belongs to, from the directory or else the operator file;
+  /// the text itself if neither knows it.
   [[nodiscard]] std::string tenant_of(std::string_view user) const;
 
  private:
-  void follow_directory();
+  void start_directory_refresh();
   void check_exit();
-  void exit_when_closed(Instant by);
+  void exit_when_closed(Instant deadline);
   [[nodiscard]] bool is_replaced() const;
   void store_undelivered_releases();
   void deliver_stored_releases();
-  void schedule_forgetting();
+  void schedule_forget_removed();
 
   net::Loop& loop_;
-  Config config_;  ///< in force
+  Config config_;  ///< the current one
   core::Names names_;
-  net::ResourceLimits bounds_;
+  net::ResourceLimits resource_limits_;
   core::Counters counters_;
   core::EndpointRegistry servers_;
   core::Dispatcher dispatcher_;
   core::CallTable table_;
-  OperatorFile setup_;
-  Site site_;
+  OperatorFile operator_file_;
+  RouterContext context_;
   UpstreamPools upstream_pools_;
   EndpointUpdates endpoint_updates_;
   std::vector<std::unique_ptr<core::Frontend>>
-      frontends_;  ///< in the order of frontend_kinds(); null: not set up
+      frontends_;  ///< in the order of frontend_kinds(); null if not configured
   directory::TenantMap directory_;
   std::unique_ptr<directory::Refresher> refresher_;
   std::unique_ptr<discovery::GossipTransport> gossip_;
   std::unique_ptr<discovery::EndpointWatcher> endpoint_watcher_;
   std::unique_ptr<admin::AdminServer> admin_server_;
   bool standby_ = false;
-  std::function<void()> on_exit_;
+  std::function<void()> on_exit_;  ///< set once shutdown has begun
   core::GracefulShutdown shutdown_plan_;
   std::optional<hot_restart::InstanceLock> instance_lock_;
-  std::string shared_folder_;
+  std::string shared_folder_;  ///< where processes of this router exchange files
   net::log::RateLimiter store_failures_log_;
   std::vector<core::UndeliveredRelease> undelivered_releases_;  ///< for the process that replaces this one
 };
--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -1,4 +1,6 @@
-// The admin server: its command parser as a table, the metrics, and its replies on real sockets.
+// Tests of the admin server: the command parser, the metrics, and the replies over sockets. They guard
+// against an admin server that idle or faulty clients can block, or that reports a status which the router
+// does not have.
 #include <array>
 
 #include "admin/command.hpp"
@@ -8,7 +10,7 @@
 namespace amberknot::tests {
 namespace {
 
-const std::string kA = "00000000000000a1";
+const std::string kCallId = "00000000000000a1";
 
 struct AdminServerFixture : Bench {
   static app::Config config_with_admin_server() {
@@ -17,18 +19,19 @@
     return config;
   }
   AdminServerFixture() : Bench({}, config_with_admin_server()) {}
-  /// Sends one command on a connection of its own; returns the whole reply once the server has closed it.
-  std::string call(const std::string& line) {
-    auto end = connect(*router->control_at());
-    end->stream->send(line);
-    until([&] { return end->closed; });
-    return end->in;
+  /// Sends a command on a new connection and returns the whole reply once the server has closed the
+  /// connection.
+  std::string reply_to(const std::string& line) {
+    auto client = connect(*router->admin_endpoint());
+    client->stream->send(line);
+    until([&] { return client->closed; });
+    return client->in;
   }
 };
 
 }  // namespace
 
-TEST_CASE("the door's reader: each call, and what it refuses") {
+TEST_CASE("the command parser accepts each command and rejects other lines with an error") {
   using admin::Command;
   using admin::CommandError;
   using admin::CommandFault;
@@ -66,7 +69,7 @@
   }
 }
 
-TEST_CASE("the figures are statsd lines, each class's counts, then the gauges and a line '.'") {
+TEST_CASE("metrics are statsd lines: the counters of each class, then the gauges, then a line '.'") {
   core::Counters counters;
   counters.of_class(1).fulfilled = 812;
   counters.of_class(0).throttled = 3;
@@ -81,77 +84,77 @@
         "router.cfg_invalid:1|g\n.\n");
 }
 
-TEST_CASE("the door answers status while 200 callers hold it and say nothing or half a line") {
+TEST_CASE("the admin server answers status while 200 clients send nothing or an incomplete line") {
   AdminServerFixture bench;
-  std::vector<std::unique_ptr<End>> silent;
+  std::vector<std::unique_ptr<End>> idle_clients;
   for (int i = 0; i < 200; ++i) {
-    silent.push_back(bench.connect(*bench.router->control_at()));
-    if (i % 2 == 1) silent.back()->stream->send("sta");
+    idle_clients.push_back(bench.connect(*bench.router->admin_endpoint()));
+    if (i % 2 == 1) idle_clients.back()->stream->send("sta");
   }
-  // None of them is answered, however long the test waits: they hold connections, not the server.
-  CHECK(bench.call("status\n") == "+OK yes\n");
-  for (const auto& one : silent) CHECK(one->in.empty());
+  // The idle clients occupy connections but do not block the server, and none of them gets an answer.
+  CHECK(bench.reply_to("status\n") == "+OK yes\n");
+  for (const auto& client : idle_clients) CHECK(client->in.empty());
 }
 
-TEST_CASE("a bad call gets one -ERR naming it, and the door and the router go on") {
+TEST_CASE("an invalid command gets one -ERR reply that repeats it, and the server keeps serving") {
   AdminServerFixture bench;
-  CHECK(bench.call("reboot\n") == "-ERR unknown call: reboot\n");
-  CHECK(bench.call("\n") == "-ERR empty line\n");
-  CHECK(bench.call(std::string(400, 'x') + "\n").starts_with("-ERR line too long"));
-  CHECK(bench.call("status\n") == "+OK yes\n");
+  CHECK(bench.reply_to("reboot\n") == "-ERR unknown call: reboot\n");
+  CHECK(bench.reply_to("\n") == "-ERR empty line\n");
+  CHECK(bench.reply_to(std::string(400, 'x') + "\n").starts_with("-ERR line too long"));
+  CHECK(bench.reply_to("status\n") == "+OK yes\n");
   bench.settle();
 }
 
-TEST_CASE("stats counts each outcome of a scripted run where it was decided") {
+TEST_CASE("stats counts the outcomes of a fulfilled, a refused and an invalid call") {
   AdminServerFixture bench;
   bench.list();
-  bench.standing(kA);  // fulfilled, one attempt relayed
-  const std::string refused = "00000000000000b2";
-  bench.open(refused);
-  auto& end = bench.invited(refused);
-  end.stream->send(Bench::sip("SIP/2.0 486 Busy Here", refused, "1 INVITE"));
-  bench.until([&] { return bench.caller->has("\"sid\":\"" + refused); });
+  bench.standing(kCallId);  // fulfilled with one relayed attempt
+  const std::string refused_id = "00000000000000b2";
+  bench.open(refused_id);
+  auto& server = bench.invited(refused_id);
+  server.stream->send(Bench::sip("SIP/2.0 486 Busy Here", refused_id, "1 INVITE"));
+  bench.until([&] { return bench.caller->has("\"sid\":\"" + refused_id); });
   bench.say(
       "{\"msg\":\"open\",\"sid\":\"00000000000000c3\",\"attrs\":{\"class\":\"nope\",\"left\":\"900\"}}\n");
   bench.until([&] { return bench.caller->has("\"sid\":\"00000000000000c3\""); });
-  const auto stats = bench.call("stats\n");
+  const auto stats = bench.reply_to("stats\n");
   CAPTURE(stats);
   CHECK(stats.starts_with("+OK\n"));
   CHECK(stats.ends_with("\n.\n"));
   CHECK(stats.find("router.fulfilled.voice:1|c\n") != std::string::npos);
   CHECK(stats.find("router.relayed.voice:") != std::string::npos);
-  CHECK(stats.find("router.open_requests:1|g\n") != std::string::npos);  // the call that stands
+  CHECK(stats.find("router.open_requests:1|g\n") != std::string::npos);  // the established call
   CHECK(stats.find("router.registry_entries:1|g\n") != std::string::npos);
   CHECK(stats.find("router.cfg_accepted:0|g\n") != std::string::npos);
 }
 
-TEST_CASE("standby: the door and the probe say no at once, what is open is served, then closed") {
+TEST_CASE("standby fails status and probes at once, serves open connections and then closes them") {
   AdminServerFixture bench;
   bench.list();
-  bench.open(kA);
-  auto& end = bench.invited(kA);
-  CHECK(bench.call("standby\n") == "+OK standby\n");
-  CHECK(bench.call("status\n").starts_with("-ERR no"));
+  bench.open(kCallId);
+  auto& server = bench.invited(kCallId);
+  CHECK(bench.reply_to("standby\n") == "+OK standby\n");
+  CHECK(bench.reply_to("status\n").starts_with("-ERR no"));
   bench.say("{\"msg\":\"probe\",\"sid\":\"00000000000000ff\",\"attrs\":{},\"code\":0}\n");
   bench.until(
       [&] { return bench.caller->has("\"probed\",\"sid\":\"00000000000000ff\",\"attrs\":{},\"code\":0}"); });
-  // The connection owes an answer, and then the release of the call that stands: it stays until that is
-  // written, and is closed after it. Closed earlier, the release would find no connection of its caller.
+  // The connection still has to carry an answer and then the release of the established call, so it is closed
+  // only after both are written. Closed earlier, there would be no connection for the release.
   CHECK_FALSE(bench.caller->closed);
-  bench.answer(end, kA);
-  bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kA); });
+  bench.answer(server, kCallId);
+  bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kCallId); });
   bench.settle();
   CHECK_FALSE(bench.caller->closed);
-  end.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallId, "2 BYE", "Reason: Q.850;cause=16\r\n"));
   bench.until([&] { return bench.caller->closed; });
-  CHECK(bench.caller->has("\"close\",\"sid\":\"" + kA));
-  // A connection that comes meanwhile is served too.
-  auto late = bench.connect(bench.router->callers_at());
-  late->stream->send("{\"msg\":\"probe\",\"sid\":\"00000000000000fe\",\"attrs\":{},\"code\":0}\n");
-  bench.until([&] { return late->has("\"probed\""); });
-  bench.until([&] { return late->closed; });
-  CHECK(bench.call("active\n") == "+OK active\n");
-  CHECK(bench.call("status\n") == "+OK yes\n");
+  CHECK(bench.caller->has("\"close\",\"sid\":\"" + kCallId));
+  // A connection that is opened during standby is served too, then closed.
+  auto late_caller = bench.connect(bench.router->callers_at());
+  late_caller->stream->send("{\"msg\":\"probe\",\"sid\":\"00000000000000fe\",\"attrs\":{},\"code\":0}\n");
+  bench.until([&] { return late_caller->has("\"probed\""); });
+  bench.until([&] { return late_caller->closed; });
+  CHECK(bench.reply_to("active\n") == "+OK active\n");
+  CHECK(bench.reply_to("status\n") == "+OK yes\n");
   bench.caller = bench.connect(bench.router->callers_at());
   bench.settle();
 }
@@ -160,13 +163,13 @@
 
 namespace amberknot::tests {
 
-TEST_CASE("after SIGTERM's request the door says no, so that a process beside it is asked instead") {
+TEST_CASE("during a shutdown status fails, so that clients turn to another process") {
   AdminServerFixture bench;
-  CHECK(bench.call("status\n") == "+OK yes\n");
-  bool done = false;
-  bench.router->shut_down([&] { done = true; });
-  CHECK(bench.call("status\n") == "-ERR no: stopping\n");
-  bench.until([&] { return done; });
+  CHECK(bench.reply_to("status\n") == "+OK yes\n");
+  bool has_exited = false;
+  bench.router->shut_down([&] { has_exited = true; });
+  CHECK(bench.reply_to("status\n") == "-ERR no: stopping\n");
+  bench.until([&] { return has_exited; });
 }
 
 }  // namespace amberknot::tests
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,4 +1,6 @@
-// Leaving after SIGTERM: the times, who has taken over, and what a caller sees of it.
+// Tests of the hot restart: the times of a shutdown, how a process detects that another one replaces it, and
+// how releases reach callers that have moved to the new process. They guard against lost calls and lost
+// releases while one process takes over from another.
 #include <fcntl.h>
 #include <sys/file.h>
 #include <sys/resource.h>
@@ -24,64 +26,65 @@
 using hot_restart::StorageFault;
 using std::chrono::seconds;
 
-const std::string kA = "00000000000000a1";
-const std::string kB = "00000000000000b2";
+const std::string kCallA = "00000000000000a1";
+const std::string kCallB = "00000000000000b2";
 
-struct Folder {
-  Folder() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     std::string pattern = (std::filesystem::temp_directory_path() / "amberknot-XXXXXX").string();
     REQUIRE(mkdtemp(pattern.data()) != nullptr);
     path = pattern;
   }
-  ~Folder() { std::filesystem::remove_all(path); }
-  [[nodiscard]] std::size_t files() const {
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
+  [[nodiscard]] std::size_t file_count() const {
     return static_cast<std::size_t>(std::distance(std::filesystem::directory_iterator(path), {}));
   }
   std::string path;
 };
 
-hot_restart::InstanceLock acquire(const Folder& folder, const InstanceRecord& self) {
+hot_restart::InstanceLock acquire(const TemporaryFolder& folder, const InstanceRecord& self) {
   auto acquired = hot_restart::InstanceLock::acquire(folder.path, self);
   if (const auto* error = std::get_if<hot_restart::StorageError>(&acquired)) FAIL(error->message);
   REQUIRE(std::holds_alternative<hot_restart::InstanceLock>(acquired));
   return std::get<hot_restart::InstanceLock>(std::move(acquired));
 }
 
-/// A second process beside the bench's router, at the same address, and the folder that the two share.
+/// A second router at the address of the bench's router, and the folder that both share. It stands for the
+/// process that replaces the first one.
 struct Replacement {
   explicit Replacement(Bench& bench) : listen(bench.router->callers_at()) {
-    bench.router->declare(folder.path);
+    bench.router->join_hot_restart(folder.path);
     auto config = bench.config;
     config.listen = listen;
     next = std::make_unique<app::Router>(bench.loop, config);
-    next->declare(folder.path);
+    next->join_hot_restart(folder.path);
   }
   asio::ip::tcp::endpoint listen;
-  Folder folder;
+  TemporaryFolder folder;
   std::unique_ptr<app::Router> next;
 };
 
 }  // namespace
 
-TEST_CASE("the times of leaving: callers come for 0.7 s, SIGKILL no sooner than the longest deadline more") {
-  const Instant at{seconds{100}};
+TEST_CASE("the times of a shutdown: 0.7 s to accept callers, then up to the longest deadline to answer") {
+  const Instant start{seconds{100}};
   const struct {
-    Duration longest;
-    bool replaced;
+    Duration longest_deadline;
+    bool is_replaced;
     Duration answer_by, exit_by;
   } rows[] = {
       {seconds{2}, false, milliseconds{2450}, milliseconds{2650}},
-      {seconds{9}, false, milliseconds{3450}, milliseconds{3650}},  // counts as 3 s
+      {seconds{9}, false, milliseconds{3450}, milliseconds{3650}},  // limited to 3 s
       {seconds{4}, true, milliseconds{4450}, milliseconds{4650}},
-      {seconds{9}, true, milliseconds{5450}, milliseconds{5650}},  // counts as 5 s
+      {seconds{9}, true, milliseconds{5450}, milliseconds{5650}},  // limited to 5 s
       {milliseconds{50}, false, milliseconds{700}, milliseconds{700}},
   };
   for (const auto& row : rows) {
-    const auto plan = GracefulShutdown::plan(at, row.longest, row.replaced);
-    CHECK(plan.accept_until == at + milliseconds{700});
-    CHECK(plan.answer_by == at + row.answer_by);
-    CHECK(plan.exit_by == at + row.exit_by);
-    // What is owed is waited for without end, what stands until `exit_by`.
+    const auto plan = GracefulShutdown::plan(start, row.longest_deadline, row.is_replaced);
+    CHECK(plan.accept_until == start + milliseconds{700});
+    CHECK(plan.answer_by == start + row.answer_by);
+    CHECK(plan.exit_by == start + row.exit_by);
+    // Unanswered calls are waited for without a limit, established ones until `exit_by`.
     CHECK_FALSE(plan.may_exit(plan.accept_until - milliseconds{1}, 0, 0));
     CHECK(plan.may_exit(plan.accept_until, 0, 0));
     CHECK_FALSE(plan.may_exit(plan.exit_by - milliseconds{1}, 0, 1));
@@ -90,31 +93,32 @@
   }
 }
 
-TEST_CASE("replaced is who is followed by a younger process of the same name at the same address") {
+TEST_CASE("a process is replaced by a later one with the same name and address") {
   const InstanceRecord self{"n1", "127.0.0.1:5070", 1000};
   CHECK_FALSE(core::is_replaced_by_any(self, {}));
-  CHECK_FALSE(core::is_replaced_by_any(self, {{"n1", "127.0.0.1:5070", 999}}));  // the one it replaced itself
+  CHECK_FALSE(
+      core::is_replaced_by_any(self, {{"n1", "127.0.0.1:5070", 999}}));  // the process that this one replaced
   CHECK_FALSE(core::is_replaced_by_any(self, {{"n2", "127.0.0.1:5070", 2000}}));
   CHECK_FALSE(core::is_replaced_by_any(self, {{"n1", "127.0.0.1:5071", 2000}}));
   CHECK(core::is_replaced_by_any(self, {{"n2", "127.0.0.1:5070", 2000}, {"n1", "127.0.0.1:5070", 1001}}));
 }
 
-TEST_CASE("a record is read back as written, and nothing is made of a bad one") {
+TEST_CASE("an instance record is parsed as it was serialized, and invalid ones are rejected") {
   const InstanceRecord record{"n1", "127.0.0.1:5070", 1764633600000000};
   const auto text = hot_restart::serialize(record);
   CHECK(hot_restart::parse_instance_record(text) == record);
-  for (std::size_t cut = 0; cut + 2 < text.size(); ++cut)
-    CHECK_FALSE(hot_restart::parse_instance_record(text.substr(0, cut)));
-  for (const char* bad : {R"({"version":2,"name":"n","listen":"l","started_unix_us":1})", "[1]", "null",
-                          R"({"version":1,"name":7,"listen":"l","started_unix_us":1})",
-                          R"({"version":1,"name":"n","started_unix_us":1})",
-                          R"({"version":1,"name":"n","listen":"l","started_unix_us":"1"})"}) {
-    CHECK_FALSE(hot_restart::parse_instance_record(bad));
+  for (std::size_t size = 0; size + 2 < text.size(); ++size)
+    CHECK_FALSE(hot_restart::parse_instance_record(text.substr(0, size)));
+  for (const char* invalid : {R"({"version":2,"name":"n","listen":"l","started_unix_us":1})", "[1]", "null",
+                              R"({"version":1,"name":7,"listen":"l","started_unix_us":1})",
+                              R"({"version":1,"name":"n","started_unix_us":1})",
+                              R"({"version":1,"name":"n","listen":"l","started_unix_us":"1"})"}) {
+    CHECK_FALSE(hot_restart::parse_instance_record(invalid));
   }
 }
 
-TEST_CASE("the living are seen in the shared folder, the dead are cleared away, the unreadable are counted") {
-  const Folder folder;
+TEST_CASE("records of live processes are found, those of dead ones removed, unreadable ones counted") {
+  const TemporaryFolder folder;
   const auto first = acquire(folder, {"n1", "127.0.0.1:5070", 1});
   {
     const auto second = acquire(folder, {"n1", "127.0.0.1:5070", 2});
@@ -130,21 +134,21 @@
   const auto after_end = first.others();
   CHECK(after_end.records.empty());
   CHECK(after_end.unreadable_files == 0);
-  // A file that its process left behind when it was killed: nobody holds its lock.
+  // A file without a lock, as a killed process leaves it behind.
   std::ofstream(folder.path + "/amberknot-serving-dead00")
       << hot_restart::serialize({"n1", "127.0.0.1:5070", 9});
   const auto after_crash = first.others();
   CHECK(after_crash.records.empty());
-  CHECK(folder.files() == 1);
+  CHECK(folder.file_count() == 1);
   CHECK(after_crash.unreadable_files == 0);
-  const auto torn = folder.path + "/amberknot-serving-torn00";
-  std::ofstream(torn) << R"({"version":1,"na)";
-  const int held = ::open(torn.c_str(), O_RDONLY | O_CLOEXEC);
-  REQUIRE(::flock(held, LOCK_EX) == 0);
+  const auto partial_file = folder.path + "/amberknot-serving-torn00";
+  std::ofstream(partial_file) << R"({"version":1,"na)";
+  const int locked_descriptor = ::open(partial_file.c_str(), O_RDONLY | O_CLOEXEC);
+  REQUIRE(::flock(locked_descriptor, LOCK_EX) == 0);
   const auto with_unreadable = first.others();
   CHECK(with_unreadable.records.empty());
   CHECK(with_unreadable.unreadable_files == 1);
-  ::close(held);
+  ::close(locked_descriptor);
   const auto without_folder = hot_restart::InstanceLock::acquire("", first.self());
   REQUIRE(std::holds_alternative<StorageError>(without_folder));
   CHECK(std::get<StorageError>(without_folder).fault == StorageFault::kNoFolder);
@@ -154,31 +158,30 @@
   CHECK(std::get<StorageError>(in_missing_folder).message.find("No such file") != std::string::npos);
 }
 
-TEST_CASE(
-    "releases are left in the shared folder and taken once, in order; what is bad is removed and counted") {
-  const Folder folder;
+TEST_CASE("stored releases are loaded once and in order; invalid files are removed and counted") {
+  const TemporaryFolder folder;
   const InstanceRecord self{"n1", "127.0.0.1:5070", 1};
   CHECK(hot_restart::load_releases(folder.path, self).releases.empty());
   std::vector<core::UndeliveredRelease> all;
   for (int i = 0; i < 20; ++i) {
-    std::vector<core::UndeliveredRelease> some = {{"127.0.0.1", kA, i}, {"10.1.2.3", kB, 16}};
-    all.insert(all.end(), some.begin(), some.end());
-    REQUIRE_FALSE(hot_restart::store_releases(folder.path, self, some));
-    CHECK(some.empty());
+    std::vector<core::UndeliveredRelease> batch = {{"127.0.0.1", kCallA, i}, {"10.1.2.3", kCallB, 16}};
+    all.insert(all.end(), batch.begin(), batch.end());
+    REQUIRE_FALSE(hot_restart::store_releases(folder.path, self, batch));
+    CHECK(batch.empty());
   }
-  // The other process has another start: it is the same router.
+  // A process with another start time is the same router.
   const auto loaded = hot_restart::load_releases(folder.path, {"n1", "127.0.0.1:5070", 2});
   CHECK(loaded.releases == all);
   CHECK(loaded.unreadable_files == 0);
-  CHECK(folder.files() == 0);
-  const auto had = all.size();
+  CHECK(folder.file_count() == 0);
+  const auto stored_count = all.size();
   const auto error = hot_restart::store_releases(folder.path + "/none", self, all);
   REQUIRE(error);
   CHECK(error->fault == StorageFault::kWriteFailed);
-  CHECK(all.size() == had);
+  CHECK(all.size() == stored_count);
   CHECK(error->message.find("No such file") != std::string::npos);
-  const auto good = hot_restart::serialize(self, {{"127.0.0.1", kA, 16}});
-  const std::string bad[] = {
+  const auto good = hot_restart::serialize(self, {{"127.0.0.1", kCallA, 16}});
+  const std::string invalid[] = {
       "",
       good.substr(0, good.size() - 1),
       hot_restart::serialize({"n2", "127.0.0.1:5070", 1}, {}),
@@ -187,180 +190,184 @@
       R"({"version":1,"name":"n1","listen":"127.0.0.1:5070","releases":[7]})",
       R"({"version":1,"name":"n1","listen":"127.0.0.1:5070","releases":[{"caller":"a"}]})",
       std::string(2 * 1024 * 1024, ' ')};
-  for (const auto& text : bad) {
+  for (const auto& text : invalid) {
     CHECK_FALSE(hot_restart::parse_releases(text, self));
     std::ofstream(folder.path + "/amberknot-releases-x") << text;
-    const auto none = hot_restart::load_releases(folder.path, self);
-    CHECK(none.releases.empty());
-    CHECK(none.unreadable_files == 1);
-    CHECK(folder.files() == 0);
+    const auto rejected = hot_restart::load_releases(folder.path, self);
+    CHECK(rejected.releases.empty());
+    CHECK(rejected.unreadable_files == 1);
+    CHECK(folder.file_count() == 0);
   }
 }
 
-TEST_CASE("however many releases there are, each file can be read again") {
-  const Folder folder;
+TEST_CASE("20,000 releases are stored in files that can all be loaded") {
+  const TemporaryFolder folder;
   const InstanceRecord self{"n1", "127.0.0.1:5070", 1};
   std::vector<core::UndeliveredRelease> all;
-  for (int i = 0; i < 20'000; ++i) all.push_back({"127.100.100.100", kA, i});
-  auto left = all;
-  REQUIRE_FALSE(hot_restart::store_releases(folder.path, self, left));
+  for (int i = 0; i < 20'000; ++i) all.push_back({"127.100.100.100", kCallA, i});
+  auto unstored = all;
+  REQUIRE_FALSE(hot_restart::store_releases(folder.path, self, unstored));
   const auto loaded = hot_restart::load_releases(folder.path, self);
   CHECK(loaded.releases == all);
   CHECK(loaded.unreadable_files == 0);
 }
 
 TEST_CASE(
-    "a replaced router takes no new connection, answers what is out and lets go of all that owe nothing") {
+    "a replaced router accepts no connections, answers its calls and closes connections without calls") {
   Bench bench;
   bench.list();
   auto idle = bench.connect(bench.router->callers_at());
-  idle->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kB + "\",\"attrs\":{},\"code\":0}\n");
+  idle->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kCallB + "\",\"attrs\":{},\"code\":0}\n");
   bench.until([&] { return idle->has("\"probed\""); });
-  bench.standing(kB);
-  bench.open(kA);
-  auto& server = bench.invited(kA);
-  const Replacement by(bench);
-  bool done = false;
-  bench.router->shut_down([&] { done = true; });
-  CHECK(bench.router->callers_at() == by.listen);
-  // Every new connection reaches the new process: with both listening, one in two would not.
+  bench.standing(kCallB);
+  bench.open(kCallA);
+  auto& server = bench.invited(kCallA);
+  const Replacement replacement(bench);
+  bool has_exited = false;
+  bench.router->shut_down([&] { has_exited = true; });
+  CHECK(bench.router->callers_at() == replacement.listen);
+  // Every new connection must reach the new process. If both processes listened, half of them would not.
   std::vector<std::unique_ptr<End>> callers;
   for (int i = 0; i < 16; ++i) {
-    callers.push_back(bench.connect(by.listen));
-    callers.back()->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kA + "\",\"attrs\":{},\"code\":0}\n");
+    callers.push_back(bench.connect(replacement.listen));
+    callers.back()->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":0}\n");
   }
-  bench.until([&] { return by.next->callers() == 16; });
+  bench.until([&] { return replacement.next->callers() == 16; });
   bench.until([&] { return idle->closed; });
   CHECK_FALSE(bench.caller->closed);  // a set-up on it is unanswered
-  bench.answer(server, kA);
-  bench.until([&] { return bench.caller->closed; });  // though two calls that came by it stand
-  CHECK(bench.caller->has("\"ready\",\"sid\":\"" + kA));
+  bench.answer(server, kCallA);
+  bench.until([&] { return bench.caller->closed; });  // although two calls from it are established
+  CHECK(bench.caller->has("\"ready\",\"sid\":\"" + kCallA));
   CHECK(bench.router->callers() == 0);
-  CHECK_FALSE(done);
-  // The old process hears that a call is over, and its caller has gone to the new one: told there, once.
-  const auto told = "\"close\",\"sid\":\"" + kA + "\",\"attrs\":{},\"code\":16}";
+  CHECK_FALSE(has_exited);
+  // The server ends a call at the old process. Its caller has moved to the new process, which delivers the
+  // release once.
+  const auto release_message = "\"close\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":16}";
   const auto count = [&] {
-    return std::accumulate(callers.begin(), callers.end(), std::size_t{0},
-                           [&](std::size_t sum, const auto& end) { return sum + end->count(told); });
+    return std::accumulate(
+        callers.begin(), callers.end(), std::size_t{0},
+        [&](std::size_t sum, const auto& caller) { return sum + caller->count(release_message); });
   };
-  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
   bench.until([&] { return count() == 1; });
-  CHECK_FALSE(done);
-  // What still stands when it ends is released too, and told after its end.
-  bench.until([&] { return done; });
+  CHECK_FALSE(has_exited);
+  // Calls that are still established at the exit are released too, and delivered after the exit.
+  bench.until([&] { return has_exited; });
   bench.until([&] {
     return std::any_of(callers.begin(), callers.end(),
-                       [](const auto& end) { return end->has("\"close\",\"sid\":\"" + kB); });
+                       [](const auto& caller) { return caller->has("\"close\",\"sid\":\"" + kCallB); });
   });
   CHECK(count() == 1);
 }
 
-TEST_CASE("a release that waits for its caller when the process is replaced is told by the new one") {
+TEST_CASE("a release that waits for its caller to reconnect is delivered by the replacement process") {
   Bench bench;
   bench.list();
-  auto& server = bench.standing(kA);
+  auto& server = bench.standing(kCallA);
   bench.caller->stream->close();
   bench.until([&] { return bench.router->callers() == 0; });
-  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
   bench.until([&] { return bench.router->table().established() == 0; });
-  const Replacement by(bench);
+  const Replacement replacement(bench);
   bench.router->shut_down([] {});
-  bench.caller = bench.connect(by.listen);
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kA); });
-  CHECK(by.next->callers() == 1);
+  bench.caller = bench.connect(replacement.listen);
+  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
+  CHECK(replacement.next->callers() == 1);
 }
 
-TEST_CASE("a folder that is full for a while: releases are kept, and left once there is room") {
+TEST_CASE("releases that a full disk prevents from being stored are kept and stored once there is room") {
   Bench bench;
   bench.list();
-  auto& server = bench.standing(kA);
-  const Replacement by(bench);
+  auto& server = bench.standing(kCallA);
+  const Replacement replacement(bench);
   bench.router->shut_down([] {});
   bench.until([&] { return bench.caller->closed; });
-  bench.caller = bench.connect(by.listen);
+  bench.caller = bench.connect(replacement.listen);
   bench.settle();
-  // No file of this process may hold a byte: what it leaves fails as on a full disk.
-  const auto no_signal = std::signal(SIGXFSZ, SIG_IGN);
-  rlimit usual{};
-  REQUIRE(::getrlimit(RLIMIT_FSIZE, &usual) == 0);
-  const rlimit none{0, usual.rlim_max};
-  REQUIRE(::setrlimit(RLIMIT_FSIZE, &none) == 0);
-  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  // With a file size limit of 0, storing releases fails as on a full disk.
+  const auto previous_handler = std::signal(SIGXFSZ, SIG_IGN);
+  rlimit previous_limit{};
+  REQUIRE(::getrlimit(RLIMIT_FSIZE, &previous_limit) == 0);
+  const rlimit no_bytes{0, previous_limit.rlim_max};
+  REQUIRE(::setrlimit(RLIMIT_FSIZE, &no_bytes) == 0);
+  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
   bench.until([&] { return bench.router->table().established() == 0; });
-  std::size_t looks = 0;  // the router looks every 20 ms
-  const auto look = [&](auto&& self) -> void {
-    if (++looks < 3) bench.loop.after(milliseconds{20}, [&self] { self(self); });
+  std::size_t checks = 0;  // the router tries again every 20 ms
+  const auto count_checks = [&](auto&& self) -> void {
+    if (++checks < 3) bench.loop.after(milliseconds{20}, [&self] { self(self); });
   };
-  look(look);
-  bench.until([&] { return looks == 3; });
+  count_checks(count_checks);
+  bench.until([&] { return checks == 3; });
   CHECK_FALSE(bench.caller->has("\"close\""));
-  REQUIRE(::setrlimit(RLIMIT_FSIZE, &usual) == 0);
-  std::signal(SIGXFSZ, no_signal);
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kA); });
+  REQUIRE(::setrlimit(RLIMIT_FSIZE, &previous_limit) == 0);
+  std::signal(SIGXFSZ, previous_handler);
+  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
 }
 
 TEST_CASE(
-    "the new process dies before SIGTERM: a plain restart; after it: what was left is told by the next") {
-  for (const bool before : {true, false}) {
+    "a replacement that dies before SIGTERM leaves a normal shutdown, one that dies later loses no release") {
+  for (const bool dies_before_sigterm : {true, false}) {
     Bench bench;
     bench.list();
-    auto& server = bench.standing(kA);
-    const Folder folder;
-    bench.router->declare(folder.path);
+    auto& server = bench.standing(kCallA);
+    const TemporaryFolder folder;
+    bench.router->join_hot_restart(folder.path);
     auto config = bench.config;
     config.listen = bench.router->callers_at();
-    // The new process, as far as the old one sees it. Killed: its file stays, and nobody holds its lock.
-    const InstanceRecord younger{"n0", net::text_of(config.listen), Loop::unix_us() + 1};
+    // The record of the new process. After a kill its file remains, but the lock is released.
+    const InstanceRecord successor{"n0", net::text_of(config.listen), Loop::unix_us() + 1};
     std::optional<hot_restart::InstanceLock> next;
-    if (before) {
-      std::ofstream(folder.path + "/amberknot-serving-dead00") << hot_restart::serialize(younger);
+    if (dies_before_sigterm) {
+      std::ofstream(folder.path + "/amberknot-serving-dead00") << hot_restart::serialize(successor);
     } else {
-      next.emplace(acquire(folder, younger));
+      next.emplace(acquire(folder, successor));
     }
     bench.router->shut_down([] {});
     next.reset();
-    const auto bye = Bench::sip("BYE sip:x@net SIP/2.0", kA, "2 BYE", "Reason: Q.850;cause=16\r\n");
-    if (before) {
-      // It serves on: a new connection reaches it, and the release of what stands is told by it.
-      auto late = bench.connect(config.listen);
-      late->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kB + "\",\"attrs\":{},\"code\":0}\n");
-      bench.until([&] { return late->has("\"probed\""); });
+    const auto bye = Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n");
+    if (dies_before_sigterm) {
+      // The old process keeps serving: it accepts a new connection and delivers the release of its call.
+      auto late_caller = bench.connect(config.listen);
+      late_caller->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kCallB + "\",\"attrs\":{},\"code\":0}\n");
+      bench.until([&] { return late_caller->has("\"probed\""); });
       CHECK_FALSE(bench.caller->closed);
       server.stream->send(bye);
-      bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kA); });
+      bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
       continue;
     }
     bench.until([&] { return bench.caller->closed; });
     server.stream->send(bye);
-    bench.until([&] { return folder.files() == 2; });  // the old one's presence, and what it left
+    bench.until([&] {
+      return folder.file_count() == 2;
+    });  // the instance record and the stored release of the old process
     app::Router third(bench.loop, config);
-    third.declare(folder.path);
+    third.join_hot_restart(folder.path);
     bench.caller = bench.connect(config.listen);
-    bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kA); });
+    bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
   }
 }
 
-TEST_CASE("a replaced router takes what waited at its listener before it closes it") {
+TEST_CASE("a replaced router accepts the connections in its listen queue before it closes the listener") {
   Bench bench;
   std::vector<std::unique_ptr<End>> callers;
   for (int i = 0; i < 8; ++i) callers.push_back(bench.connect(bench.router->callers_at()));
-  // Up in the kernel, and the router's loop has not run since.
-  asio::ip::tcp::socket plain(bench.loop.io);
-  plain.connect(bench.router->callers_at());
-  const Folder folder;
-  bench.router->declare(folder.path);
+  // Established by the kernel, but not yet accepted: the router's loop has not run since.
+  asio::ip::tcp::socket queued_socket(bench.loop.io);
+  queued_socket.connect(bench.router->callers_at());
+  const TemporaryFolder folder;
+  bench.router->join_hot_restart(folder.path);
   const auto next = acquire(folder, {"n0", net::text_of(bench.router->callers_at()), Loop::unix_us() + 1});
   bench.router->shut_down([] {});
-  const std::string probe = "{\"msg\":\"probe\",\"sid\":\"" + kA + "\",\"attrs\":{},\"code\":0}\n";
-  asio::write(plain, asio::buffer(probe));
+  const std::string probe = "{\"msg\":\"probe\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":0}\n";
+  asio::write(queued_socket, asio::buffer(probe));
   for (auto& caller : callers) caller->stream->send(probe);
   bench.until([&] {
     return std::all_of(callers.begin(), callers.end(),
-                       [](const auto& end) { return end->has("\"probed\""); });
+                       [](const auto& caller) { return caller->has("\"probed\""); });
   });
   std::array<char, 8> reply{};
-  bench.until([&] { return plain.available() >= reply.size(); });
-  CHECK(asio::read(plain, asio::buffer(reply)) == reply.size());
+  bench.until([&] { return queued_socket.available() >= reply.size(); });
+  CHECK(asio::read(queued_socket, asio::buffer(reply)) == reply.size());
 }
 
 }  // namespace amberknot::tests
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,4 +1,6 @@
-// A new configuration under load: the program itself under SIGHUP, and what a reload changes in a router.
+// Tests of a configuration reload: the router's program on SIGHUP, and a reload in a router object. They
+// guard against a reload that ends the program, loses or repeats endpoint events, or leaves an old connection
+// open.
 #include <spawn.h>
 #include <sys/wait.h>
 
@@ -17,7 +19,7 @@
 
 namespace {
 
-/// A configuration file as the platform hands it out.
+/// A configuration file as the platform provides it.
 class ConfigFile {
  public:
   ConfigFile() {
@@ -36,7 +38,7 @@
             R"(","known":{"cursor":7,"cmds":[]},"settings":{"limits":{"connect_timeout_us":"500000"},)" +
             settings + "}}");
   }
-  /// As a platform does it: the new file takes the place of the old one at once.
+  /// Replaces the file atomically, as the platform does.
   void replace(const std::string& text) const {
     std::ofstream(folder_ / "next") << text;
     std::filesystem::rename(folder_ / "next", path());
@@ -46,14 +48,14 @@
   std::filesystem::path folder_;
 };
 
-/// The router as a process of its own.
+/// The router's program in a separate process.
 class Program {
  public:
   explicit Program(const std::string& config) {
     setenv("RELAY_CONFIG", config.c_str(), 1);
     std::string path = ROUTER_PROGRAM;
-    char* words[] = {path.data(), nullptr};
-    REQUIRE(posix_spawn(&pid_, path.c_str(), nullptr, nullptr, words, environ) == 0);
+    char* argv[] = {path.data(), nullptr};
+    REQUIRE(posix_spawn(&pid_, path.c_str(), nullptr, nullptr, argv, environ) == 0);
   }
   ~Program() {
     if (pid_ <= 0) return;
@@ -61,7 +63,7 @@
     waitpid(pid_, nullptr, 0);
   }
   void signal(int number) const { kill(pid_, number); }
-  bool ended() {
+  bool has_ended() {
     if (pid_ > 0 && waitpid(pid_, &status_, WNOHANG) == pid_) pid_ = 0;
     return pid_ == 0;
   }
@@ -72,20 +74,21 @@
   int status_ = 0;
 };
 
-discovery::EndpointUpdate news_of(std::uint64_t cursor, const std::string& name, const std::string& address) {
-  discovery::EndpointUpdate news;
-  news.cursor = cursor;
-  news.has_servers = true;
-  news.changes.push_back({name, address, 0, EndpointState::kReady, 0});
-  return news;
+discovery::EndpointUpdate update_of(std::uint64_t cursor, const std::string& name,
+                                    const std::string& address) {
+  discovery::EndpointUpdate update;
+  update.cursor = cursor;
+  update.has_servers = true;
+  update.changes.push_back({name, address, 0, EndpointState::kReady, 0});
+  return update;
 }
 
 }  // namespace
 
-// Guards against SIGHUP ending the program, as it does where nobody catches it.
-TEST_CASE("on SIGHUP the program goes on and follows the channel that its new file names") {
-  Bench bench;  // for its loop and its stand-ins
-  Listener next(bench.loop);
+// Without a handler, SIGHUP ends the program.
+TEST_CASE("on SIGHUP the program keeps running and follows the command channel of its new configuration") {
+  Bench bench;  // provides the loop and the command channel
+  Listener next_channel(bench.loop);
   ConfigFile file;
   const std::string listen = "127.0.0.1:" + std::to_string([&] {
                                Listener free(bench.loop);
@@ -94,7 +97,7 @@
   file.write(listen, bench.channel.address);
   Program program(file.path());
   bench.until([&] { return bench.channel.with("Last-Event-ID: 7\r\n") != nullptr; });
-  file.replace("{");  // a bad file changes nothing
+  file.replace("{");  // an invalid file changes nothing
   program.signal(SIGHUP);
   const auto caller = bench.connect(*net::read_endpoint(listen));
   const auto probe = [&](const std::string& sid) {
@@ -102,18 +105,18 @@
     bench.until([&] { return caller->has("\"probed\",\"sid\":\"" + sid); });
   };
   probe("00000000000000a1");
-  file.write(listen, next.address);
+  file.write(listen, next_channel.address);
   program.signal(SIGHUP);
-  bench.until([&] { return next.with("Last-Event-ID: 7\r\n") != nullptr; });
+  bench.until([&] { return next_channel.with("Last-Event-ID: 7\r\n") != nullptr; });
   probe("00000000000000a2");
-  CHECK_FALSE(program.ended());
+  CHECK_FALSE(program.has_ended());
   program.signal(SIGTERM);
-  bench.until([&] { return program.ended(); });
+  bench.until([&] { return program.has_ended(); });
   CHECK(WIFEXITED(program.status()));
   CHECK(WEXITSTATUS(program.status()) == 0);
 }
 
-TEST_CASE("a reload moves to the new channel at once and the numbers go on") {
+TEST_CASE("a reload switches to the new command channel at once and resumes after the last event") {
   Bench bench;
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
   const auto event = [&](int id, const std::string& name) {
@@ -122,44 +125,44 @@
            bench.server.address + "\",\"group\":0,\"status\":\"ready\",\"since_ms\":0}]}}\n\n";
   };
   bench.until([&] { return bench.channel.with("Last-Event-ID: 0\r\n") != nullptr; });
-  auto& old = *bench.channel.ends[0];
-  old.stream->send(head + event(3, "s1"));
+  auto& old_channel = *bench.channel.ends[0];
+  old_channel.stream->send(head + event(3, "s1"));
   bench.until([&] { return bench.router->counters().endpoint_events == 1; });
 
-  Listener next(bench.loop);
-  auto fresh = bench.config;
-  fresh.channel = next.acceptor.local_endpoint();
-  bench.router->reload(fresh);
-  bench.until([&] { return next.with("Last-Event-ID: 3\r\n") != nullptr; });
-  // The old channel stays open for a while on its own side; what it says counts no more.
-  bench.until([&] { return old.closed; });
-  next.ends[0]->stream->send(head + event(3, "s2") + event(4, "s3"));
+  Listener next_channel(bench.loop);
+  auto new_config = bench.config;
+  new_config.channel = next_channel.acceptor.local_endpoint();
+  bench.router->reload(new_config);
+  bench.until([&] { return next_channel.with("Last-Event-ID: 3\r\n") != nullptr; });
+  // The router closes its connection to the old channel; events from there are no longer applied.
+  bench.until([&] { return old_channel.closed; });
+  next_channel.ends[0]->stream->send(head + event(3, "s2") + event(4, "s3"));
   bench.until([&] { return bench.router->counters().endpoint_events == 2; });
   CHECK(bench.channel.ends.size() == 1);
   CHECK(bench.router->counters().reloads == 1);
 
-  SUBCASE("the same channel again leaves the connection alone") {
-    bench.router->reload(fresh);
+  SUBCASE("a reload with the same channel keeps the connection") {
+    bench.router->reload(new_config);
     bench.settle();
-    CHECK(next.ends.size() == 1);
-    CHECK_FALSE(next.ends[0]->closed);
+    CHECK(next_channel.ends.size() == 1);
+    CHECK_FALSE(next_channel.ends[0]->closed);
   }
-  SUBCASE("what the new file knows is learnt where it is news") {
-    fresh.known = {news_of(4, "s4", bench.server.address), news_of(5, "s5", bench.server.address)};
-    bench.router->reload(fresh);
+  SUBCASE("events in the new file are applied if their numbers are new") {
+    new_config.known = {update_of(4, "s4", bench.server.address), update_of(5, "s5", bench.server.address)};
+    bench.router->reload(new_config);
     CHECK(bench.router->counters().endpoint_events == 3);
   }
-  SUBCASE("a channel that cannot be reached yet is tried again, from one connection") {
-    Listener gone(bench.loop);
-    const auto at = gone.acceptor.local_endpoint();
-    gone.die();
-    fresh.channel = at;
-    bench.router->reload(fresh);
+  SUBCASE("an unreachable channel is retried, and a later reload leaves only one connection") {
+    Listener unreachable(bench.loop);
+    const auto address = unreachable.acceptor.local_endpoint();
+    unreachable.die();
+    new_config.channel = address;
+    bench.router->reload(new_config);
     bench.until([&] { return bench.router->counters().endpoint_watch_restarts >= 3; });
-    fresh.channel = next.acceptor.local_endpoint();
-    bench.router->reload(fresh);
-    bench.until([&] { return next.count("Last-Event-ID: 4\r\n") == 1; });
+    new_config.channel = next_channel.acceptor.local_endpoint();
+    bench.router->reload(new_config);
+    bench.until([&] { return next_channel.count("Last-Event-ID: 4\r\n") == 1; });
     bench.settle();
-    CHECK(next.ends.size() == 2);
+    CHECK(next_channel.ends.size() == 2);
   }
 }
--- a/tests/replace_test.cpp
+++ b/tests/replace_test.cpp
@@ -1,31 +1,32 @@
-// Replacing the process (DAYS): a second router starts beside the first at the same addresses.
+// A second router starts at the addresses of the first, as when a process is replaced. Guards against
+// listeners without SO_REUSEPORT, with which the new process could not start while the old one serves.
 #include "net_bench.hpp"
 
 namespace amberknot::tests {
 namespace {
 
-const std::string kA = "00000000000000a1";
+const std::string kCallId = "00000000000000a1";
 
 }  // namespace
 
-TEST_CASE("a second router starts at the clients' address of the first, and both answer there") {
-  Bench old_one;
-  auto config = old_one.config;
-  config.listen = old_one.router->callers_at();
-  // Without SO_REUSEPORT on both this throws "bind: Address already in use", and the new process exits
-  // with 2.
-  app::Router new_one(old_one.loop, config);
-  CHECK(new_one.callers_at() == old_one.router->callers_at());
+TEST_CASE("a second router can listen at the address of the first, and both answer callers there") {
+  Bench old_router;
+  auto config = old_router.config;
+  config.listen = old_router.router->callers_at();
+  // Without SO_REUSEPORT on both sockets this throws "bind: Address already in use", and the new process
+  // exits with status 2.
+  app::Router new_router(old_router.loop, config);
+  CHECK(new_router.callers_at() == old_router.router->callers_at());
   std::vector<std::unique_ptr<End>> callers;
   for (int i = 0; i < 8; ++i) {
-    callers.push_back(old_one.connect(config.listen));
-    callers.back()->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kA + "\",\"attrs\":{},\"code\":0}\n");
+    callers.push_back(old_router.connect(config.listen));
+    callers.back()->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kCallId + "\",\"attrs\":{},\"code\":0}\n");
   }
-  old_one.until([&] {
+  old_router.until([&] {
     return std::all_of(callers.begin(), callers.end(),
-                       [](const auto& end) { return end->has("\"probed\""); });
+                       [](const auto& caller) { return caller->has("\"probed\""); });
   });
-  CHECK(new_one.callers() + old_one.router->callers() == callers.size() + 1);
+  CHECK(new_router.callers() + old_router.router->callers() == callers.size() + 1);
 }
 
 }  // namespace amberknot::tests
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,5 +1,6 @@
-// Graceful shutdown: every call that is queued or in flight at SIGTERM has its final answer before SIGKILL
-// may come, however long its caller would have waited.
+// Tests of the graceful shutdown: every call that is queued or in flight at SIGTERM gets its final answer
+// before SIGKILL may come, even if its caller would wait longer. They guard against calls that the kill
+// leaves unanswered.
 #include <cstdlib>
 #include <filesystem>
 
@@ -13,12 +14,13 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kCalls = 8;
-// Class deadline of these tests. SIGKILL may come 0.7 s after it, and a caller may wait for twice as long.
+// The deadline of the classes in these tests. SIGKILL may come 0.7 s after it; callers wait about twice as
+// long.
 constexpr Duration kDeadline = milliseconds{1500};
-constexpr int kPatienceMs = 2950;
-// Between the last answer of a shutdown (0.25 s before SIGKILL) and the end of the callers' own patience: a
-// process that still holds calls then waits for the callers' deadlines.
-constexpr Duration kAnsweredBy = milliseconds{2600};
+constexpr int kCallerTimeoutMs = 2950;
+// Lies between the last answer of a shutdown (0.25 s before SIGKILL) and the callers' timeout. A process that
+// still holds calls at this time waits for the callers' deadlines.
+constexpr Duration kExitTimeLimit = milliseconds{2600};
 
 std::string call_id(std::size_t number) {
   return "00000000000000c" + std::to_string(number);
@@ -28,18 +30,18 @@
   auto config = bench_config();
   for (auto& call_class : config.settings.classes) {
     call_class.deadline = deadline;
-    // No attempt is called off as silent before the shutdown ends it.
+    // No attempt is cancelled for lack of an answer before the shutdown ends it.
     call_class.latency_objective = seconds{6};
   }
   return config;
 }
 
-/// A router with more calls than its one server has tokens for: some in flight and never answered, the rest
-/// queued.
+/// A router with more calls than its only server has tokens: some are in flight and never answered, the
+/// others are queued.
 struct LoadedRouter : Bench {
   explicit LoadedRouter(const app::Config& config = config_with_deadline(kDeadline)) : Bench({}, config) {
     list();
-    for (std::size_t number = 0; number < kCalls; ++number) open(call_id(number), kPatienceMs);
+    for (std::size_t number = 0; number < kCalls; ++number) open(call_id(number), kCallerTimeoutMs);
     until([&] { return router->table().unanswered() == kCalls && server.count("CSeq: 1 INVITE") > 0; });
     settle();
     in_flight = server.count("CSeq: 1 INVITE");
@@ -50,10 +52,10 @@
     began = Loop::now();
     router->shut_down([this] { ++exits; });
   }
-  /// Runs until the router has ended; false: it still ran when only the callers' own deadlines could end it.
+  /// Runs the loop until the router has exited. Returns false if it has not exited within kExitTimeLimit.
   bool exits_in_time() {
     bool is_late = false;
-    loop.wheel.at(began + kAnsweredBy, [&] { is_late = true; });
+    loop.wheel.at(began + kExitTimeLimit, [&] { is_late = true; });
     until([&] { return exits > 0 || is_late; });
     return !is_late;
   }
@@ -66,55 +68,56 @@
 
 }  // namespace
 
-TEST_CASE("at SIGTERM queued calls are rejected and attempts in flight cancelled before SIGKILL may come") {
+TEST_CASE("on SIGTERM queued calls are rejected and attempts in flight cancelled before SIGKILL may come") {
   LoadedRouter router;
   router.shut_down();
-  router.open(call_id(kCalls), kPatienceMs);  // taken while callers still come
-  router.shut_down();                         // a second SIGTERM changes nothing
+  router.open(call_id(kCalls), kCallerTimeoutMs);  // still accepted at the start of a shutdown
+  router.shut_down();                              // a second SIGTERM changes nothing
   CHECK(router.exits_in_time());
   CHECK(router.exits == 1);
   CHECK(router.router->table().unanswered() == 0);
   router.until([&] { return router.caller->closed; });
   CHECK(router.caller->why == net::CloseReason::kEnded);
   CHECK(router.caller->count("\"close\"") == kCalls + 1);
-  // The late one is given up by the module, which was told of its short time: it advises only under pressure.
+  // The decision module gives up the last call because of its short remaining time. The module itself gives
+  // retry advice only under load.
   CHECK(router.rejections_with_wait() >= kCalls);
   router.until([&] { return router.server.count("CANCEL sip:") == router.in_flight; });
 }
 
-TEST_CASE("a shutdown after a reload is bound by the deadlines that the reload brought") {
+TEST_CASE("a shutdown after a reload uses the class deadlines of the new configuration") {
   LoadedRouter router(config_with_deadline(seconds{3}));
-  auto fresh = router.config;
-  fresh.settings = config_with_deadline(kDeadline).settings;
-  fresh.settings_text = "changed";
-  router.router->reload(fresh);
+  auto new_config = router.config;
+  new_config.settings = config_with_deadline(kDeadline).settings;
+  new_config.settings_text = "changed";
+  router.router->reload(new_config);
   router.shut_down();
   CHECK(router.exits_in_time());
   router.until([&] { return router.caller->closed; });
   CHECK(router.rejections_with_wait() == kCalls);
 }
 
-TEST_CASE("a process replaced by another answers what it holds before it ends") {
+TEST_CASE("a replaced process answers its queued and in-flight calls before it exits") {
   LoadedRouter router;
-  std::string pattern = (std::filesystem::temp_directory_path() / "amberknot-XXXXXX").string();
-  REQUIRE(mkdtemp(pattern.data()) != nullptr);
-  router.router->declare(pattern);
+  std::string folder = (std::filesystem::temp_directory_path() / "amberknot-XXXXXX").string();
+  REQUIRE(mkdtemp(folder.data()) != nullptr);
+  router.router->join_hot_restart(folder);
   auto config = router.config;
   config.listen = router.router->callers_at();
   app::Router successor(router.loop, config);
-  successor.declare(pattern);
+  successor.join_hot_restart(folder);
   router.shut_down();
   CHECK(router.exits_in_time());
   router.until([&] { return router.caller->closed; });
   CHECK(router.rejections_with_wait() == kCalls);
-  std::filesystem::remove_all(pattern);
+  std::filesystem::remove_all(folder);
 }
 
-// ---- in simulated time: the wheel is led by hand, and no server ever answers ----------------------------
+// ---- simulated time: the test advances the timer wheel, and no server ever answers ----------------------
 
 namespace {
 
-/// Counts final answers and keeps the retry advice of each.
+/// Counts failed calls and records the retry advice of rejected ones.
 struct RecordingClient : core::ClientPort {
   bool answer(CallId, std::string_view) override { return true; }
   void reject(CallId, core::Reason, Duration retry_after) override { advice.push_back(retry_after); }
@@ -125,13 +128,13 @@
   std::size_t failed = 0;
 };
 
-/// A server that never answers. A set-up is taken back unwritten while `is_connecting`.
+/// A server that never answers. While `is_connecting`, a cancelled set-up has not been sent.
 struct SilentServer : core::UpstreamPool {
   void on_endpoint_changed(const core::Endpoint&) override {}
   void forget_server(ServerId) override {}
   void set_up(const core::SetUp& set_up) override {
     ++sent;
-    latest_limit = set_up.wait;
+    latest_wait = set_up.wait;
   }
   bool cancel(const core::AttemptRef&) override {
     ++cancelled;
@@ -141,11 +144,11 @@
   void forget(const core::AttemptRef&) override {}
   void check_health(ServerId) override {}
   std::size_t sent = 0, cancelled = 0;
-  Duration latest_limit{};
+  Duration latest_wait{};
   bool is_connecting = false;
 };
 
-/// The core alone, under a clock that the test moves.
+/// The core without sockets, with a clock that the test advances.
 struct SimulatedCore {
   explicit SimulatedCore(const app::Config& config = bench_config())
       : dispatcher(config.settings, now), wheel(now) {
@@ -154,11 +157,11 @@
     listed.state = EndpointState::kReady;
     table.on_endpoints_changed(true, {{listed.id, PoolId{0}, EndpointState::kReady, {}, core::kNotKnown}});
   }
-  void open(Duration patience) {
+  void open(Duration caller_timeout) {
     core::NewSetUp set_up;
     set_up.id = "00000000000000a1";
     set_up.call_class = "voice";
-    set_up.facts.expires = now + patience;
+    set_up.facts.expires = now + caller_timeout;
     table.route(table.admit(client, std::move(set_up)));
   }
   void advance_to(Instant moment) {
@@ -179,7 +182,7 @@
 
 }  // namespace
 
-TEST_CASE("no call that is taken late stands unanswered when SIGKILL may come") {
+TEST_CASE("calls that arrive late in a shutdown are answered before SIGKILL may come") {
   SimulatedCore core;
   const auto plan = GracefulShutdown::plan(core.now, seconds{3}, true);
   core.table.begin_shutdown(plan);
@@ -194,7 +197,7 @@
   CHECK(core.table.unanswered() == 0);
 }
 
-TEST_CASE("a shutdown brings the deadlines of all calls forward, and moves none back") {
+TEST_CASE("a shutdown brings the deadlines of all calls forward and postpones none") {
   for (const bool is_connecting : {false, true}) {
     CAPTURE(is_connecting);
     SimulatedCore core;
@@ -214,7 +217,7 @@
     CHECK(core.client.answered() == 13);
     CHECK(core.table.unanswered() == 0);
     CHECK(core.server.cancelled >= sent);
-    // Who is rejected by the shutdown comes back once this process has ended, and no sooner.
+    // Callers that the shutdown rejects are advised to retry only after this process has exited.
     for (std::size_t i = 1; i < core.client.advice.size(); ++i) {
       CHECK(core.client.advice[i] >= plan.exit_by - plan.answer_by);
       CHECK(core.client.advice[i] <= plan.exit_by - plan.answer_by + milliseconds{20});
@@ -225,23 +228,22 @@
   }
 }
 
-TEST_CASE(
-    "callers rejected by a shutdown get no advice where the settings allow none, nor more than they do") {
-  for (const auto most : {Duration::zero(), Duration{milliseconds{50}}}) {
+TEST_CASE("retry advice of a shutdown obeys the settings: none if disabled, and at most the maximum") {
+  for (const auto max_advice : {Duration::zero(), Duration{milliseconds{50}}}) {
     auto config = bench_config();
-    config.settings.limits.retry_advice = most > Duration::zero();
-    config.settings.limits.max_retry_advice = most;
+    config.settings.limits.retry_advice = max_advice > Duration::zero();
+    config.settings.limits.max_retry_advice = max_advice;
     SimulatedCore core(config);
     for (int i = 0; i < 12; ++i) core.open(seconds{9});
     const auto plan = GracefulShutdown::plan(core.now, seconds{3}, false);
     core.table.begin_shutdown(plan);
     core.advance_to(plan.answer_by);
     CHECK(core.client.advice.size() == 12);
-    for (const auto advice : core.client.advice) CHECK(advice == most);
+    for (const auto advice : core.client.advice) CHECK(advice == max_advice);
   }
 }
 
-TEST_CASE("a call that may have run and is not repeatable fails at a shutdown, and is not called rejected") {
+TEST_CASE("a shutdown fails, and does not reject, a non-idempotent call that a server may have processed") {
   auto config = bench_config();
   for (auto& call_class : config.settings.classes) call_class.idempotent = false;
   SimulatedCore core(config);
--- a/tests/wire_format_admin_test.cpp
+++ b/tests/wire_format_admin_test.cpp
@@ -1,4 +1,5 @@
-// The bytes of every admin reply, and the statsd lines that `stats` holds.
+// Wire format of the admin server: the exact bytes of every reply and of the statsd lines in the reply to
+// `stats`. Guards against changes that break operators' tools.
 #include <limits>
 
 #include "admin/metrics.hpp"
@@ -15,12 +16,12 @@
     return config;
   }
   explicit AdminServerFixture(const app::Config& config = config_with_admin_server()) : Bench({}, config) {}
-  /// The whole reply to one line, on a connection of its own.
+  /// Sends a line on a new connection and returns the whole reply.
   std::string reply_to(const std::string& line) {
-    auto end = connect(*router->control_at());
-    end->stream->send(line);
-    until([&] { return end->closed; });
-    return end->in;
+    auto client = connect(*router->admin_endpoint());
+    client->stream->send(line);
+    until([&] { return client->closed; });
+    return client->in;
   }
 };
 
@@ -43,7 +44,7 @@
   CHECK(bench.reply_to("status\n") == "-ERR no: stopping\n");
 }
 
-TEST_CASE("admin reply bytes: a line that is no command") {
+TEST_CASE("admin reply bytes: a line that is not a command") {
   AdminServerFixture bench;
   CHECK(bench.reply_to("\n") == "-ERR empty line\n");
   CHECK(bench.reply_to("reboot \x01\x7f now\n") == "-ERR unknown call: reboot ?? now\n");
@@ -52,7 +53,7 @@
   CHECK(bench.reply_to(std::string(257, 'x') + "\n") == "-ERR line too long\n");
 }
 
-TEST_CASE("statsd line bytes: what a router counts, as a reply") {
+TEST_CASE("statsd line bytes: the counters of a running router in the reply to stats") {
   auto config = AdminServerFixture::config_with_admin_server();
   for (auto& call_class : config.settings.classes) call_class.idempotent = false;
   AdminServerFixture bench(config);
--- a/tests/wire_format_stored_files_test.cpp
+++ b/tests/wire_format_stored_files_test.cpp
@@ -1,4 +1,5 @@
-// The bytes of the files that a process leaves in the shared folder, and their names.
+// Format of the files in the shared folder: their names and exact bytes. Guards against changes that a
+// process of another release could not read during a hot restart.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -32,10 +33,10 @@
     path = pattern;
   }
   ~TemporaryFolder() { std::filesystem::remove_all(path); }
-  /// The only file there.
+  /// The only file in the folder.
   [[nodiscard]] std::filesystem::path file() const {
-    const std::filesystem::directory_iterator all(path);
-    REQUIRE(std::distance(begin(all), end(all)) == 1);
+    const std::filesystem::directory_iterator entries(path);
+    REQUIRE(std::distance(begin(entries), end(entries)) == 1);
     return std::filesystem::directory_iterator(path)->path();
   }
   std::string path;
@@ -64,7 +65,7 @@
   CHECK(content_of(folder.file()) == kReleasesText);
 }
 
-TEST_CASE("stored file bytes: files of this form are read") {
+TEST_CASE("stored file bytes: files in this format are parsed") {
   CHECK(hot_restart::parse_instance_record(kInstanceText) == kInstance);
   CHECK(hot_restart::parse_releases(kReleasesText, kInstance) == two_releases());
   const TemporaryFolder folder;
@@ -74,7 +75,7 @@
   CHECK(loaded.unreadable_files == 0);
 }
 
-TEST_CASE("stored file bytes: no releases") {
+TEST_CASE("stored file bytes: an empty list of releases") {
   CHECK(hot_restart::serialize(kInstance, {}) ==
         R"({"version":1,"name":"n\"0","listen":"127.0.0.1:5070","releases":[]})");
 }
