--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -159,7 +159,7 @@
   is_requesting_again_ = ++consecutive_unreadable_events_ <= kMaxRepeatedRequests;
   net::log::warn(
       "discovery: command channel event ", event.id, " cannot be parsed",
-      is_requesting_again_ ? ", requesting it again" : ", skipping it: the endpoint list may be incomplete");
+      is_requesting_again_ ? ", requesting it again" : ", skipping it: the endpoint list may be wrong");
   const auto id = parse_event_id(event);
   if (is_requesting_again_ || !id) return;
   consecutive_unreadable_events_ = 0;
