--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -48,7 +48,7 @@
       self->limit_ = 0;
       self->fail(CloseReason::kNeverUp);
     });
-    self->owner_->on_late(*self);
+    self->owner_->on_connect_timeout(*self);
   });
   socket_.async_connect(to, [self = shared_from_this()](const asio::error_code& error) {
     if (self->is_closed()) return;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -28,7 +28,7 @@
     /// is the owner's to refuse.
     virtual std::size_t on_bytes(TcpConnection& stream, std::span<char> bytes) = 0;
     /// The connection is not up in its time, and may still come up: on_open or on_closed follows.
-    virtual void on_late(TcpConnection& /*stream*/) {}
+    virtual void on_connect_timeout(TcpConnection& /*stream*/) {}
     /// What was blocked has left, and nothing is queued. Not called from inside send().
     virtual void on_drained(TcpConnection& /*stream*/) {}
     /// The connection is gone by the other side's doing. Not called after close().
--- a/src/sip/codec.cpp
+++ b/src/sip/codec.cpp
@@ -19,26 +19,26 @@
   return text;
 }
 
-bool same(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
-           const auto low = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
-           return low(x) == low(y);
+           const auto to_lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
+           return to_lower(x) == to_lower(y);
          });
 }
 
 template <typename T>
-std::optional<T> whole(std::string_view text) {
+std::optional<T> parse_number(std::string_view text) {
   T value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
-/// The request line or status line; false: neither.
+/// Parses a request line or status line into `head`. Returns false if the line is neither.
 bool read_first_line(std::string_view line, SipHead& head) {
   constexpr std::string_view kVersion = "SIP/2.0";
   if (line.substr(0, kVersion.size() + 1) == "SIP/2.0 ") {
-    const auto code = whole<int>(line.substr(kVersion.size() + 1, 3));
+    const auto code = parse_number<int>(line.substr(kVersion.size() + 1, 3));
     if (!code || *code < 100 || *code > 699) return false;
     head.status = *code;
     return true;
@@ -52,54 +52,55 @@
 
 }  // namespace
 
-SipRead read_sip(std::string_view bytes, std::size_t most) {
+SipRead read_sip(std::string_view bytes, std::size_t max_size) {
   SipRead read;
-  // Blank lines between messages keep connections alive.
+  // Peers may send blank lines between messages as keep-alives (RFC 5626, section 3.5.1).
   std::size_t at = 0;
   while (at < bytes.size() && (bytes[at] == '\r' || bytes[at] == '\n')) ++at;
   const std::size_t end = bytes.find("\r\n\r\n", at);
   if (end == std::string_view::npos) {
-    if (bytes.size() - at > most) read.state = SipRead::State::kBad;
+    if (bytes.size() - at > max_size) read.state = SipRead::State::kBad;
     return read;
   }
   read.state = SipRead::State::kBad;
   auto& head = read.head;
   head.head_size = end + 4;
-  bool has_length = false;
-  std::size_t lines = 0;
+  bool has_content_length = false;
+  std::size_t line_count = 0;
   while (at < end + 2) {
-    std::size_t stop = bytes.find("\r\n", at);
-    // A line that begins with white space goes on with the one before.
-    while (stop < end && (bytes[stop + 2] == ' ' || bytes[stop + 2] == '\t'))
-      stop = bytes.find("\r\n", stop + 2);
-    const auto line = bytes.substr(at, stop - at);
-    at = stop + 2;
-    if (lines++ == 0) {
+    std::size_t line_end = bytes.find("\r\n", at);
+    // A line that starts with white space continues the previous header field (RFC 3261, section 7.3.1).
+    while (line_end < end && (bytes[line_end + 2] == ' ' || bytes[line_end + 2] == '\t'))
+      line_end = bytes.find("\r\n", line_end + 2);
+    const auto line = bytes.substr(at, line_end - at);
+    at = line_end + 2;
+    if (line_count++ == 0) {
       if (!read_first_line(line, head)) return read;
       continue;
     }
-    if (lines > kMaxHeaders) return read;
+    if (line_count > kMaxHeaders) return read;
     const auto colon = line.find(':');
     if (colon == std::string_view::npos) return read;
     const auto name = trim(line.substr(0, colon));
     const auto value = trim(line.substr(colon + 1));
-    if (same(name, "Call-ID") || same(name, "i")) head.call_id = value;
-    if (same(name, "Via") || same(name, "v")) head.via = head.via.empty() ? value : head.via;
-    if (same(name, "CSeq")) head.cseq = value;
-    if (same(name, "Reason")) head.reason = value;
-    if (same(name, "X-Diagnosis")) head.diagnosis = value;
-    if (same(name, "X-Occupancy")) head.occupancy = value;
-    if (same(name, "X-Lag")) head.lag = value;
-    if (same(name, "Content-Length") || same(name, "l")) {
-      const auto size = whole<std::size_t>(value);
-      if (!size || *size > most || (has_length && *size != head.body_size)) return read;
-      has_length = true;
+    if (equals_ignoring_case(name, "Call-ID") || equals_ignoring_case(name, "i")) head.call_id = value;
+    if (equals_ignoring_case(name, "Via") || equals_ignoring_case(name, "v"))
+      head.via = head.via.empty() ? value : head.via;
+    if (equals_ignoring_case(name, "CSeq")) head.cseq = value;
+    if (equals_ignoring_case(name, "Reason")) head.reason = value;
+    if (equals_ignoring_case(name, "X-Diagnosis")) head.diagnosis = value;
+    if (equals_ignoring_case(name, "X-Occupancy")) head.occupancy = value;
+    if (equals_ignoring_case(name, "X-Lag")) head.lag = value;
+    if (equals_ignoring_case(name, "Content-Length") || equals_ignoring_case(name, "l")) {
+      const auto size = parse_number<std::size_t>(value);
+      if (!size || *size > max_size || (has_content_length && *size != head.body_size)) return read;
+      has_content_length = true;
       head.body_size = *size;
     }
   }
-  if (!has_length || head.head_size + head.body_size > most) return read;
+  if (!has_content_length || head.head_size + head.body_size > max_size) return read;
   if (const auto space = head.cseq.find(' '); space != std::string_view::npos) {
-    head.sequence = whole<std::uint32_t>(head.cseq.substr(0, space)).value_or(0);
+    head.sequence = parse_number<std::uint32_t>(head.cseq.substr(0, space)).value_or(0);
     if (head.status != 0) head.method = trim(head.cseq.substr(space));
   }
   if (head.status != 0 && head.method.empty()) return read;
@@ -120,37 +121,37 @@
       if (c < 0x20 ? c != '\r' && c != '\n' && c != '\t' : c == 0x7f) return false;
       continue;
     }
-    // Beyond ASCII only whole UTF-8 sequences, in their shortest form.
-    const std::size_t more = c >= 0xc2 && c <= 0xdf   ? 1
-                             : (c & 0xf0U) == 0xe0    ? 2
-                             : c >= 0xf0 && c <= 0xf4 ? 3
-                                                      : 0;
-    if (more == 0 || i + more >= body.size()) return false;
+    // Outside ASCII, only complete UTF-8 sequences in their shortest form are accepted.
+    const std::size_t continuation_bytes = c >= 0xc2 && c <= 0xdf   ? 1
+                                           : (c & 0xf0U) == 0xe0    ? 2
+                                           : c >= 0xf0 && c <= 0xf4 ? 3
+                                                                    : 0;
+    if (continuation_bytes == 0 || i + continuation_bytes >= body.size()) return false;
     const auto second = static_cast<unsigned char>(body[i + 1]);
-    const unsigned low = c == 0xe0 ? 0xa0 : c == 0xf0 ? 0x90 : 0x80;
-    const unsigned high = c == 0xed ? 0x9f : c == 0xf4 ? 0x8f : 0xbf;
-    if (second < low || second > high) return false;
-    for (std::size_t k = 2; k <= more; ++k) {
+    const unsigned min_second = c == 0xe0 ? 0xa0 : c == 0xf0 ? 0x90 : 0x80;
+    const unsigned max_second = c == 0xed ? 0x9f : c == 0xf4 ? 0x8f : 0xbf;
+    if (second < min_second || second > max_second) return false;
+    for (std::size_t k = 2; k <= continuation_bytes; ++k) {
       if ((static_cast<unsigned char>(body[i + k]) & 0xc0U) != 0x80) return false;
     }
-    i += more;
+    i += continuation_bytes;
   }
   return true;
 }
 
-std::optional<int> read_reason(std::string_view reason) {
+std::optional<int> read_q850_cause(std::string_view reason) {
   const auto at = reason.find("cause=");
   if (reason.substr(0, 5) != "Q.850" || at == std::string_view::npos) return std::nullopt;
   auto digits = reason.substr(at + 6);
   digits = digits.substr(0, digits.find_first_not_of("0123456789"));
-  return whole<int>(digits);
+  return parse_number<int>(digits);
 }
 
-std::optional<Duration> read_lag(std::string_view diagnosis, std::string_view lag) {
+std::optional<Duration> read_retry_after(std::string_view diagnosis, std::string_view lag) {
   if (diagnosis != "acc") return std::nullopt;
-  const auto wait = whole<std::uint32_t>(lag);
-  if (!wait || *wait == 0) return std::nullopt;
-  return std::chrono::milliseconds{*wait};
+  const auto wait_ms = parse_number<std::uint32_t>(lag);
+  if (!wait_ms || *wait_ms == 0) return std::nullopt;
+  return std::chrono::milliseconds{*wait_ms};
 }
 
 LoadReport read_load_report(std::string_view text) {
@@ -161,7 +162,7 @@
     const auto colon = part.find(':');
     if (colon == std::string_view::npos) continue;
     const auto name = trim(part.substr(0, colon));
-    const auto value = whole<double>(trim(part.substr(colon + 1)));
+    const auto value = parse_number<double>(trim(part.substr(colon + 1)));
     if (value) core::set_load_report_field(report, name, *value);
   }
   return report;
@@ -169,8 +170,8 @@
 
 namespace {
 
-std::string head_of(std::string_view method, std::string_view user, std::string_view via, std::string_view id,
-                    std::uint32_t sequence) {
+std::string start_request(std::string_view method, std::string_view user, std::string_view via,
+                          std::string_view id, std::uint32_t sequence) {
   std::string head;
   head.reserve(320);
   head.append(method).append(" sip:").append(user).append("@net SIP/2.0\r\nVia: SIP/2.0/TCP ").append(via);
@@ -183,7 +184,7 @@
 
 std::string invite_head(const SipCall& call, std::string_view via, std::string_view call_class, Duration wait,
                         std::size_t body_size) {
-  auto head = head_of("INVITE", call.number, via, call.id, call.sequence);
+  auto head = start_request("INVITE", call.number, via, call.id, call.sequence);
   head.append("X-Cos: ").append(call_class).append("\r\nX-Timer-Ms: ");
   head.append(std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(wait).count()));
   head.append("\r\nContent-Length: ").append(std::to_string(body_size)).append("\r\n\r\n");
@@ -192,7 +193,7 @@
 
 std::string request_head(std::string_view method, const SipCall& call, std::string_view via,
                          std::optional<core::Cause> cause) {
-  auto head = head_of(method, call.number, via, call.id, call.sequence);
+  auto head = start_request(method, call.number, via, call.id, call.sequence);
   if (cause)
     head.append("Reason: Q.850;cause=").append(std::to_string(static_cast<int>(*cause))).append("\r\n");
   head.append("Content-Length: 0\r\n\r\n");
@@ -200,7 +201,7 @@
 }
 
 std::string options_head(std::string_view id, std::string_view via) {
-  return head_of("OPTIONS", "load", via, id, 1).append("Content-Length: 0\r\n\r\n");
+  return start_request("OPTIONS", "load", via, id, 1).append("Content-Length: 0\r\n\r\n");
 }
 
 std::string ok_head(const SipHead& request) {
--- a/src/sip/connection_pool.cpp
+++ b/src/sip/connection_pool.cpp
@@ -13,122 +13,132 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kWarmConnections = 2;
-constexpr std::size_t kMaxConnections = 4;  // a server tells its state on no more
+constexpr std::size_t kMaxConnections = 4;  // a server sends load reports on no more than these
 constexpr Duration kMinBackoff = milliseconds{100};
 constexpr Duration kMaxBackoff = seconds{1};
-// A connection that ends sooner has not shown that the server takes connections again.
-constexpr Duration kShortLifetime = milliseconds{500};
-// A health check unanswered this long is reported as timed out: it waits in a queue or is lost.
+// A connection that closes sooner does not count as proof that the server accepts connections again.
+constexpr Duration kMinStableLifetime = milliseconds{500};
+// A health check without an answer for this long is reported as timed out: it is queued at the server or
+// lost.
 constexpr Duration kHealthCheckTimeout = milliseconds{250};
-// A release not confirmed when its connection is lost is told again, up to this age.
+// A release that is unconfirmed when its connection is lost is sent again, unless it is older than this.
 constexpr Duration kReleaseConfirmationTimeout = seconds{3};
-// So long a server's release counts as told if it could not be sent before (PROTOCOL).
+// The protocol accepts a release from a server up to this much later if it could not be sent before.
 constexpr Duration kReleaseRetention = seconds{8};
 constexpr std::size_t kMaxPendingReleases = 256;
-// The start of a message whose rest does not come: the connection is cut.
-constexpr Duration kHalfMessage = milliseconds{400};
-// Set-ups sent so much later have been answered, and so long ago: what is out on a silent connection is lost.
-constexpr Duration kStalledAfterSetUps = milliseconds{60};
-constexpr Duration kStalledTimeout = milliseconds{60};
-// The same while answers go on by other connections, or where all that was out on it has been cancelled.
-// Cutting a connection loses the releases that are on their way in it, so it is cut late, and others are
-// chosen meanwhile.
-constexpr Duration kStallSuspicionTime = seconds{3};
-constexpr Duration kWatchInterval = milliseconds{20};
-// So many refusals in a row, and no connection left, show that no process listens there any more.
-constexpr int kRefusalsOfDeath = 2;
-// A second answer to an attempt may come some milliseconds after the first; by then it is long over.
-constexpr Duration kSecondAnswer = seconds{1};
-// A set-up given up when a part of it was written, and whose rest waits on a blocked connection: its client
-// has left, and 0.3 s later nothing is sent on for it (STANDING). The connection is cut before.
+// A connection is closed if a message that has begun to arrive is incomplete for longer than this.
+constexpr Duration kPartialMessageTimeout = milliseconds{400};
+// A connection is stalled if set-ups sent this much later than its oldest unanswered one were answered on
+// other connections, and this much time has passed since the last of those answers. Set-ups in flight on a
+// stalled connection are lost.
+constexpr Duration kStallSetUpGap = milliseconds{60};
+constexpr Duration kStallConfirmationTime = milliseconds{60};
+// Timeout for a suspected stall while answers still arrive on other connections, or if all set-ups on the
+// connection were cancelled. It is long because closing a connection loses the releases in transit on it;
+// until then, other connections are preferred.
+constexpr Duration kStallSuspicionTimeout = seconds{3};
+constexpr Duration kCheckInterval = milliseconds{20};
+// This many refused connects in a row, with no connection left, mean that no process listens at the address.
+constexpr int kRefusalsUntilDown = 2;
+// A second answer to an attempt arrives within milliseconds of the first; ended attempts are remembered this
+// long to recognise it.
+constexpr Duration kSecondAnswerWindow = seconds{1};
+// A set-up may be cancelled when it is partly written and the rest waits on a blocked connection. Nothing may
+// be sent for a call 0.3 s after its client left, so the connection is closed before that.
 constexpr Duration kPartialWriteTimeout = milliseconds{200};
-// A connection may come up so long after its time (STANDING, join+mass: up to 1 s late). What waits on it is
-// not kept so long; the connection is, since its server may have taken it for open before we see that, and
-// told a release on it that it tells on no other.
+// A connect may complete up to this long after its timeout. Set-ups that wait for it are moved away at the
+// timeout, but the connection is kept: the server may have seen it open before the router did, and may have
+// sent a release on it that it sends nowhere else.
 constexpr Duration kLateConnectTimeout = seconds{1};
-constexpr std::size_t kMaxLateConnections =
-    2;  // a machine that is cut off must not hold the other servers' places
-// A connection that we gave up is read on until its server closes it too, so long at least, and longer while
-// calls stand that came by it: their releases are told there. Each holds a descriptor.
-constexpr Duration kHalfClosedFor = kReleaseRetention;
+// An unreachable server must not use up the connections of the other servers.
+constexpr std::size_t kMaxLateConnections = 2;
+// A half-closed connection is read until its server closes it too, for at least this long, and longer while
+// calls established on it are not over, because the server sends their releases there. Each one holds a
+// descriptor.
+constexpr Duration kMinHalfClosedTime = kReleaseRetention;
 constexpr std::size_t kMaxHalfClosed = 4;
-// Until then another connection is opened so often: what is told by the one given up may be lost, a server
-// tells it again on the next one that opens, and that one may meet the same fault. Several times within
-// kReleaseRetention.
+// While a half-closed connection is open, another connection is opened at this interval. A message on the
+// half-closed one may be lost; the server repeats it on the next connection that opens, which may fail the
+// same way. The interval allows several tries within kReleaseRetention.
 constexpr Duration kReopenInterval = seconds{2};
-// A set-up that never left is moved from one lost connection to the next so many times.
+// How often a set-up that was never written may move from a lost connection to another one.
 constexpr int kMaxMoves = 3;
 
 }  // namespace
 
-/// One connection to a server, and what left by it.
+/// A connection to a server, and the attempts and releases that were sent on it.
 struct ConnectionPool::Connection : net::TcpConnection::Owner, std::enable_shared_from_this<Connection> {
-  Connection(ConnectionPool& all, Server& server) : all(all), server(server) {}
-  void on_open(net::TcpConnection& /*stream*/) override { all.on_connection_open(*this); }
-  void on_late(net::TcpConnection& /*stream*/) override { all.on_connection_late(*this); }
+  Connection(ConnectionPool& pool, Server& server) : pool(pool), server(server) {}
+  void on_open(net::TcpConnection& /*stream*/) override { pool.on_connection_open(*this); }
+  void on_connect_timeout(net::TcpConnection& /*stream*/) override { pool.on_connect_timeout(*this); }
   std::size_t on_bytes(net::TcpConnection& /*stream*/, std::span<char> bytes) override {
-    return all.on_connection_bytes(*this, bytes);
+    return pool.on_connection_bytes(*this, bytes);
   }
-  void on_closed(net::TcpConnection& /*stream*/, net::CloseReason why) override {
-    all.on_connection_closed(*this, why);
+  void on_closed(net::TcpConnection& /*stream*/, net::CloseReason reason) override {
+    pool.on_connection_closed(*this, reason);
   }
 
   struct PendingRelease {
     std::string id;
     std::string text;
-    Instant sent{};
+    Instant sent_at{};
   };
-  ConnectionPool& all;
+  ConnectionPool& pool;
   Server& server;
   std::shared_ptr<net::TcpConnection> stream;
-  std::vector<core::AttemptRef> in_flight;      ///< in the order in which they were queued
-  std::deque<PendingRelease> pending_releases;  ///< not yet confirmed
-  std::size_t established = 0;                  ///< calls that came by it and stand
-  int moves = 0;                                ///< how often what waits on it has been moved, at most
+  std::vector<core::AttemptRef> in_flight;      ///< in the order they were queued
+  std::deque<PendingRelease> pending_releases;  ///< not confirmed by the server yet
+  std::size_t established = 0;                  ///< established calls that were set up on this connection
+  int move_count = 0;                           ///< highest number of moves of any set-up queued here
   Instant connected_at{};
-  bool is_late = false;               ///< not up in its time; nothing waits for it
-  std::optional<Instant> half_since;  ///< the start of a message is there, and not its end
-  /// When the first set-up left by it of all since which nothing has been heard on it. Outlives the set-up:
-  /// one that was cancelled unanswered tells as much of the connection as one that is out.
+  bool is_late = false;  ///< not open within the connect timeout; no set-up waits for it
+  std::optional<Instant> partial_message_since;  ///< when an incomplete message began to arrive
+  /// When the oldest set-up was sent since which nothing was received on this connection. It stays set after
+  /// that set-up ends: a set-up that was cancelled without an answer indicates a stall as much as one in
+  /// flight.
   std::optional<Instant> unanswered_since;
-  /// A set-up that was given up half written: the connection sends its rest, or is cut.
+  /// A set-up that was cancelled when it was partly written, and when. The connection must finish writing it
+  /// or is closed.
   std::optional<std::pair<net::TcpConnection::Tag, Instant>> partially_written;
-  std::optional<Instant> half_closed_at;      ///< when we gave it up; nothing is sent by it any more
-  std::optional<Instant> stall_suspected_at;  ///< when later set-ups by other connections had been answered
+  std::optional<Instant> half_closed_at;  ///< when the router stopped sending on it
+  /// When it was noticed that later set-ups were answered on other connections.
+  std::optional<Instant> stall_suspected_at;
 
-  [[nodiscard]] bool is_usable() const { return stream->is_open() && !half_since; }
-  /// It may be stalled: other connections are to be preferred.
+  [[nodiscard]] bool is_usable() const { return stream->is_open() && !partial_message_since; }
+  /// Whether it may be stalled, so that other connections are preferred.
   [[nodiscard]] bool is_suspected_stalled() const {
     return stall_suspected_at || (unanswered_since && in_flight.empty());
   }
 };
 
+/// A server and its connections.
 struct ConnectionPool::Server {
   explicit Server(ServerId id) : id(id) {}
   ServerId id;
   std::string address;
-  bool is_wanted = false;
-  std::vector<std::shared_ptr<Connection>> connections;  // connecting and open
+  bool is_listed = false;
+  std::vector<std::shared_ptr<Connection>> connections;  // connecting or open
   HalfClosed half_closed;
   std::size_t next_connection = 0;
   Duration backoff = kMinBackoff;
-  core::TimerWheel::Handle retry = 0;
-  int refusals = 0;         // in a row
-  Instant answered_sent{};  // when the latest set-up that has been answered was sent
-  Instant answered_at{};    // and since when that is known
-  std::deque<std::pair<std::string, std::string>> pending;  // releases that no connection could take
-  /// When a connection broke while calls were established: releases in it are told again on the next
-  /// connection that opens, and only there (PROTOCOL). Empty: one has opened since.
+  core::TimerWheel::Handle retry_timer = 0;
+  int consecutive_refusals = 0;     // of connects
+  Instant last_answered_sent_at{};  // send time of the latest set-up that was answered
+  Instant last_answered_at{};       // when last_answered_sent_at was last updated
+  /// Call-ID and text of the releases that wait for a connection.
+  std::deque<std::pair<std::string, std::string>> unsent_releases;
+  /// When a connection was lost while calls were established. The server repeats releases that were lost with
+  /// it on the next connection that opens, and only there. Empty if a connection has opened since.
   std::optional<Instant> releases_maybe_lost_since;
-  Instant reopened_at{};  // when a connection was opened last since one that was given up is not closed by
-                          // the server
+  /// When a connection was last opened because the server had not closed a half-closed one.
+  Instant reopened_at{};
 
   [[nodiscard]] std::size_t open_connections() const {
     return static_cast<std::size_t>(
         std::count_if(connections.begin(), connections.end(),
                       [](const auto& connection) { return connection->stream->is_open(); }));
   }
-  /// Open, or coming up in their time.
+  /// Connections that are open or still within their connect timeout.
   [[nodiscard]] std::size_t counted_connections() const {
     return static_cast<std::size_t>(std::count_if(
         connections.begin(), connections.end(), [](const auto& connection) { return !connection->is_late; }));
@@ -136,121 +146,121 @@
 };
 
 ConnectionPool::ConnectionPool(net::Loop& loop, core::CallTable& table, core::EndpointRegistry& servers,
-                               core::Counters& counters, const net::ResourceLimits& bounds,
-                               std::string own_name, Duration connect_limit)
+                               core::Counters& counters, const net::ResourceLimits& limits,
+                               std::string own_name, Duration connect_timeout)
     : loop_(loop),
       table_(table),
       servers_(servers),
       counters_(counters),
-      bounds_(bounds),
+      limits_(limits),
       own_name_(std::move(own_name)),
-      connect_limit_(connect_limit) {
-  schedule_watch();
+      connect_timeout_(connect_timeout) {
+  schedule_check();
 }
 
 ConnectionPool::~ConnectionPool() {
-  for (auto& [id, server] : by_id_) {
+  for (auto& [id, server] : servers_by_id_) {
     for (auto& connection : server->connections) connection->stream->close();
     for (auto& connection : server->half_closed) connection->stream->close();
   }
 }
 
-ConnectionPool::Server& ConnectionPool::of(ServerId id) {
-  auto& server = by_id_[id];
+ConnectionPool::Server& ConnectionPool::find_or_create_server(ServerId id) {
+  auto& server = servers_by_id_[id];
   if (!server) server = std::make_unique<Server>(id);
   return *server;
 }
 
-void ConnectionPool::on_endpoint_changed(const core::Endpoint& listed) {
-  auto& server = of(listed.id);
-  const bool moved = !server.address.empty() && server.address != listed.address;
-  server.address = listed.address;
-  std::vector<core::AttemptRef> back;
-  if (listed.state != EndpointState::kReady || moved) {
-    // The drain rule binds at the write: what still waits on a connecting or blocked socket never leaves. Nor
-    // does it go to an address that the server has left.
+void ConnectionPool::on_endpoint_changed(const core::Endpoint& endpoint) {
+  auto& server = find_or_create_server(endpoint.id);
+  const bool has_moved = !server.address.empty() && server.address != endpoint.address;
+  server.address = endpoint.address;
+  std::vector<core::AttemptRef> withdrawn_refs;
+  if (endpoint.state != EndpointState::kReady || has_moved) {
+    // A set-up must not be written to a draining server: set-ups that wait on a connecting or blocked socket
+    // are withdrawn. They must not reach an address that the server has left either.
     for (const auto& connection : server.connections) {
       for (const auto& ref : connection->in_flight) {
-        if (connection->stream->take_back(tag(ref))) back.push_back(ref);
+        if (connection->stream->take_back(tag(ref))) withdrawn_refs.push_back(ref);
       }
     }
-    counters_.withdrawn += back.size();
-    for (const auto& ref : back) drop(find(ref));
+    counters_.withdrawn += withdrawn_refs.size();
+    for (const auto& ref : withdrawn_refs) remove_attempt(find_attempt(ref));
   }
-  server.is_wanted = listed.state != EndpointState::kRemoved;
+  server.is_listed = endpoint.state != EndpointState::kRemoved;
   std::vector<std::shared_ptr<Connection>> closed;
-  if (!server.is_wanted || moved) {
+  if (!server.is_listed || has_moved) {
     closed = std::exchange(server.connections, {});
     connection_count_ -= closed.size() + server.half_closed.size();
     for (const auto& connection : closed) connection->stream->close();
     for (const auto& connection : std::exchange(server.half_closed, {})) connection->stream->close();
   }
-  if (!server.is_wanted) {
-    server.pending.clear();
-    loop_.wheel.cancel(std::exchange(server.retry, 0));
+  if (!server.is_listed) {
+    server.unsent_releases.clear();
+    loop_.wheel.cancel(std::exchange(server.retry_timer, 0));
   }
-  if (server.is_wanted) open_warm_connections(server);
-  // Told last: what ends is placed anew at once, and must not find the old connections.
-  for (const auto& ref : back)
+  if (server.is_listed) open_warm_connections(server);
+  // Reported last, because ended attempts are routed again at once and must not find the old connections.
+  for (const auto& ref : withdrawn_refs)
     table_.on_attempt_ended(ref, {Outcome::kNotSent, core::Cause::kOutOfOrder, false, {}});
-  for (const auto& connection : closed) end_on(*connection, Outcome::kReset);
+  for (const auto& connection : closed) end_attempts_on(*connection, Outcome::kReset);
 }
 
 void ConnectionPool::forget_server(ServerId id) {
-  const auto found = by_id_.find(id);
-  if (found == by_id_.end()) return;
+  const auto found = servers_by_id_.find(id);
+  if (found == servers_by_id_.end()) return;
   auto& server = *found->second;
-  loop_.wheel.cancel(server.retry);
+  loop_.wheel.cancel(server.retry_timer);
   for (const auto& connection : server.connections) connection->stream->close();
   for (const auto& connection : server.half_closed) connection->stream->close();
   connection_count_ -= server.connections.size() + server.half_closed.size();
-  std::vector<std::string> probes;
-  for (const auto& [key, probe] : pending_health_checks_) {
-    if (probe.server == id) probes.push_back(key);
+  std::vector<std::string> health_check_ids;
+  for (const auto& [key, health_check] : pending_health_checks_) {
+    if (health_check.server == id) health_check_ids.push_back(key);
   }
-  for (const auto& key : probes) {
-    loop_.wheel.cancel(pending_health_checks_.at(key).limit);
+  for (const auto& key : health_check_ids) {
+    loop_.wheel.cancel(pending_health_checks_.at(key).timeout_timer);
     pending_health_checks_.erase(key);
   }
-  by_id_.erase(found);
+  servers_by_id_.erase(found);
 }
 
 // ---- connections --------------------------------------------------------------------------------------
 
 void ConnectionPool::open_warm_connections(Server& server) {
-  if (!server.is_wanted || server.retry != 0) return;
-  const auto one_more = [&server] {
+  if (!server.is_listed || server.retry_timer != 0) return;
+  const auto needs_connection = [&server] {
     if (server.connections.size() < kWarmConnections) return true;
     if (!server.releases_maybe_lost_since || server.counted_connections() >= kMaxConnections) return false;
-    return server.open_connections() == server.counted_connections();  // else one is coming up already
+    return server.open_connections() == server.counted_connections();  // otherwise one is already connecting
   };
-  while (one_more()) {
-    const auto had = server.connections.size();
+  while (needs_connection()) {
+    const auto count_before = server.connections.size();
     connect(server);
-    if (server.connections.size() == had) return;
+    if (server.connections.size() == count_before) return;
   }
 }
 
 void ConnectionPool::connect(Server& server) {
-  const auto to = net::read_endpoint(server.address);
-  if (!to) {
-    net::log::warn("server address cannot be read: ", server.address);
+  const auto address = net::read_endpoint(server.address);
+  if (!address) {
+    net::log::warn("sip: no connection to a server: cannot parse its address as host:port: ", server.address);
     return;
   }
-  // The first connection to a server is not denied: the list of servers is short.
-  if (connection_count_ >= bounds_.upstream_connections && !close_oldest_half_closed() &&
+  // The connection limit does not apply to the first connection of a server; the number of servers is small.
+  if (connection_count_ >= limits_.upstream_connections && !close_oldest_half_closed() &&
       !server.connections.empty())
     return;
   auto connection = std::make_shared<Connection>(*this, server);
   connection->stream = std::make_shared<net::TcpConnection>(loop_, *connection);
   server.connections.push_back(connection);
   ++connection_count_;
-  connection->stream->connect(*to, connect_limit_, kLateConnectTimeout);
+  connection->stream->connect(*address, connect_timeout_, kLateConnectTimeout);
 }
 
-// The open connection with the fewest set-ups out, so that one malformed answer or reset takes few others
-// along; with some out on each, one more is opened for those to come. Without an open connection one that is
-// coming up, or a new one, backoff or not.
+// Picks the open connection with the fewest set-ups in flight, so that a malformed answer or a reset affects
+// few other set-ups. If all connections have some, one more is opened for later set-ups. Without an open
+// connection, picks one that is connecting or opens a new one, regardless of the backoff.
 std::shared_ptr<ConnectionPool::Connection> ConnectionPool::pick_connection(Server& server,
                                                                             const Connection* avoid) {
   std::shared_ptr<Connection> best;
@@ -262,29 +272,30 @@
       return std::pair(one.is_suspected_stalled(), one.in_flight.size());
     };
     const bool better = connection.get() == avoid || !best || rank(*connection) < rank(*best);
-    // Closed by the server, and we have not read so far: what is written now would be reset unread.
+    // If the server has closed the connection and this is not read yet, data written now would be answered
+    // with a reset and lost.
     if (!better || !connection->is_usable() || connection->stream->has_ended()) continue;
     (connection.get() == avoid ? avoided : best) = connection;
   }
   ++server.next_connection;
-  const bool room = server.counted_connections() < kMaxConnections;
+  const bool has_room = server.counted_connections() < kMaxConnections;
   if (best) {
-    if (!best->in_flight.empty() && server.is_wanted && server.retry == 0 && room) connect(server);
+    if (!best->in_flight.empty() && server.is_listed && server.retry_timer == 0 && has_room) connect(server);
     return best;
   }
-  const auto coming =
+  const auto connecting =
       std::find_if(server.connections.begin(), server.connections.end(), [](const auto& connection) {
         return !connection->is_late && !connection->stream->is_closed() && !connection->stream->is_open() &&
-               !connection->half_since;
+               !connection->partial_message_since;
       });
-  if (coming != server.connections.end()) return *coming;
-  if (!avoided || room) connect(server);
+  if (connecting != server.connections.end()) return *connecting;
+  if (!avoided || has_room) connect(server);
   return server.connections.size() > count ? server.connections.back() : avoided;
 }
 
 const ConnectionPool::Connection* ConnectionPool::recently_ended_on(const core::AttemptRef& attempt) const {
   if (attempt.attempt == 0) return nullptr;
-  for (auto one = over_.rbegin(); one != over_.rend(); ++one) {
+  for (auto one = recently_ended_.rbegin(); one != recently_ended_.rend(); ++one) {
     if (one->call != attempt.call) continue;
     if (const auto connection = one->connection.lock(); connection && connection->server.id == attempt.server)
       return connection.get();
@@ -296,155 +307,161 @@
   auto& server = connection.server;
   connection.connected_at = net::Loop::now();
   if (std::exchange(connection.is_late, false)) ++counters_.late_connections;
-  server.refusals = 0;
+  server.consecutive_refusals = 0;
   server.releases_maybe_lost_since.reset();
-  net::log::debug("link up: ", servers_.find(server.id)->name);
-  for (auto& [id, release] : std::exchange(server.pending, {}))
+  net::log::debug("sip: connection opened: ", servers_.find(server.id)->name);
+  for (auto& [id, release] : std::exchange(server.unsent_releases, {}))
     send_release(server, std::move(id), std::move(release));
 }
 
-// What never left goes by another connection: it is no attempt's end. Only with nothing to go by is it one. A
-// refusal, or silence for the whole time, says that there is nothing; a reset of a new connection does not.
-void ConnectionPool::move_unsent(Connection& connection, bool dead) {
+// A set-up that was never written moves to another connection, and its attempt goes on. The attempt ends only
+// if no connection can take it: a refused or timed-out connect means that the server is unreachable, a reset
+// of a new connection does not.
+void ConnectionPool::move_unsent_set_ups(Connection& connection, bool is_unreachable) {
   auto& server = connection.server;
   auto unsent = connection.stream->take_unsent();
-  const bool again = server.is_wanted && (server.open_connections() > 0 || !dead);
+  const bool may_move = server.is_listed && (server.open_connections() > 0 || !is_unreachable);
   std::vector<core::AttemptRef> withdrawn;
   for (auto& message : unsent) {
     if (message.tag == 0) continue;
     const auto ref = std::find_if(connection.in_flight.begin(), connection.in_flight.end(),
                                   [&](const auto& one) { return tag(one) == message.tag; });
     if (ref == connection.in_flight.end()) continue;
-    const auto attempt = find(*ref);
-    const auto other = again && connection.moves < kMaxMoves ? pick_connection(server) : nullptr;
-    if (attempt == attempts_.end() || !other) {
+    const auto attempt = find_attempt(*ref);
+    const auto replacement =
+        may_move && connection.move_count < kMaxMoves ? pick_connection(server) : nullptr;
+    if (attempt == attempts_.end() || !replacement) {
       withdrawn.push_back(*ref);
       continue;
     }
     ++counters_.moved;
-    other->moves = std::max(other->moves, connection.moves + 1);
-    other->in_flight.push_back(*ref);
-    attempt->second.connection = other;
-    attempt->second.sent = net::Loop::now();
-    if (!other->unanswered_since) other->unanswered_since = attempt->second.sent;
+    replacement->move_count = std::max(replacement->move_count, connection.move_count + 1);
+    replacement->in_flight.push_back(*ref);
+    attempt->second.connection = replacement;
+    attempt->second.sent_at = net::Loop::now();
+    if (!replacement->unanswered_since) replacement->unanswered_since = attempt->second.sent_at;
     connection.in_flight.erase(ref);
-    other->stream->send(std::move(message.head), std::move(message.body), message.tag);
+    replacement->stream->send(std::move(message.head), std::move(message.body), message.tag);
   }
   for (const auto& ref : withdrawn) {
-    const auto attempt = find(ref);
+    const auto attempt = find_attempt(ref);
     if (attempt == attempts_.end()) continue;
-    drop(attempt);
+    remove_attempt(attempt);
     table_.on_attempt_ended(ref, {Outcome::kConnectFailed, core::Cause::kTemporaryFailure, false, {}});
   }
 }
 
-void ConnectionPool::on_connection_late(Connection& connection) {
+void ConnectionPool::on_connect_timeout(Connection& connection) {
   auto& server = connection.server;
-  const auto keep = connection.shared_from_this();
-  net::log::debug("link late: ", servers_.find(server.id)->name);
+  const auto keep_alive = connection.shared_from_this();
+  net::log::debug("sip: connect timed out, still waiting for the connection: ",
+                  servers_.find(server.id)->name);
   connection.is_late = true;
-  connection.unanswered_since.reset();  // nothing left by it
-  move_unsent(connection, true);
-  end_on(connection, Outcome::kConnectFailed);
+  connection.unanswered_since.reset();  // nothing was sent on it
+  move_unsent_set_ups(connection, true);
+  end_attempts_on(connection, Outcome::kConnectFailed);
   for (auto& release : std::exchange(connection.pending_releases, {}))
     send_release(server, std::move(release.id), std::move(release.text));
   if (server.connections.size() - server.counted_connections() > kMaxLateConnections) {
     connection.stream->fail(net::CloseReason::kNeverUp);
     return;
   }
-  // A server that tells releases on the next connection that opens may never see this one: another one is
-  // opened.
+  // The server may send releases on the next connection that opens at its end, which may be one that never
+  // opens here. Another one is opened for them.
   open_warm_connections(server);
 }
 
-void ConnectionPool::on_connection_closed(Connection& closed, net::CloseReason why) {
+void ConnectionPool::on_connection_closed(Connection& closed, net::CloseReason reason) {
   if (closed.half_closed_at) {
-    on_half_closed_end(closed, why);
+    on_half_closed_end(closed, reason);
     return;
   }
   auto& server = closed.server;
   const auto at = std::find_if(server.connections.begin(), server.connections.end(),
                                [&](const auto& connection) { return connection.get() == &closed; });
   if (at == server.connections.end()) return;
-  const auto connection = *at;  // keeps it alive
+  const auto connection = *at;  // keeps the object alive
   server.connections.erase(at);
   --connection_count_;
-  on_lost(*connection, why);
+  on_connection_lost(*connection, reason);
 }
 
-void ConnectionPool::on_lost(Connection& connection, net::CloseReason why) {
+void ConnectionPool::on_connection_lost(Connection& connection, net::CloseReason reason) {
   auto& server = connection.server;
   const Instant now = net::Loop::now();
-  const bool was_up = connection.connected_at != Instant{};
-  if (was_up) {
-    net::log::info(connection_log_limit_, "link to ", servers_.find(server.id)->name, " ", name(why));
+  const bool was_open = connection.connected_at != Instant{};
+  if (was_open) {
+    net::log::info(connection_log_limit_, "sip: connection closed: ", servers_.find(server.id)->name, ": ",
+                   name(reason));
   } else {
-    net::log::debug("no link to ", servers_.find(server.id)->name, ": ", name(why));
+    net::log::debug("sip: connect failed: ", servers_.find(server.id)->name, ": ", name(reason));
   }
-  server.refusals = why == net::CloseReason::kRefused ? server.refusals + 1 : 0;
+  server.consecutive_refusals = reason == net::CloseReason::kRefused ? server.consecutive_refusals + 1 : 0;
 
-  move_unsent(connection, why == net::CloseReason::kRefused || why == net::CloseReason::kNeverUp);
-  // A connection that was lost leaves what it carried in doubt.
-  end_on(connection, was_up ? Outcome::kReset : Outcome::kConnectFailed);
+  move_unsent_set_ups(connection,
+                      reason == net::CloseReason::kRefused || reason == net::CloseReason::kNeverUp);
+  // The server may or may not have received the set-ups that were sent on a lost connection.
+  end_attempts_on(connection, was_open ? Outcome::kReset : Outcome::kConnectFailed);
   for (auto& release : std::exchange(connection.pending_releases, {})) {
-    if (now - release.sent < kReleaseConfirmationTimeout)
+    if (now - release.sent_at < kReleaseConfirmationTimeout)
       send_release(server, std::move(release.id), std::move(release.text));
   }
-  // What stood has been cut, and nobody is left who could say so.
-  if (server.refusals >= kRefusalsOfDeath && server.open_connections() == 0) {
+  // The established calls are lost with the server process, which cannot report that any more.
+  if (server.consecutive_refusals >= kRefusalsUntilDown && server.open_connections() == 0) {
     table_.abort_all(server.id, "connection refused");
   }
-  const bool stands = has_established_calls_at(server.id);
-  if (was_up && why != net::CloseReason::kEnded && stands) server.releases_maybe_lost_since = now;
-  if (!stands ||
+  const bool has_established = has_established_calls_at(server.id);
+  if (was_open && reason != net::CloseReason::kEnded && has_established)
+    server.releases_maybe_lost_since = now;
+  if (!has_established ||
       (server.releases_maybe_lost_since && now - *server.releases_maybe_lost_since > kReleaseRetention))
     server.releases_maybe_lost_since.reset();
-  // Callers are owed a release within 1 s: a pause that is longer, begun by another connection, is not waited
-  // for.
+  // Callers must get a release within 1 s, so a longer backoff that an earlier connection started is not
+  // waited for.
   if (server.releases_maybe_lost_since) {
-    loop_.wheel.cancel(std::exchange(server.retry, 0));
+    loop_.wheel.cancel(std::exchange(server.retry_timer, 0));
     server.backoff = kMinBackoff;
   }
-  if (!server.is_wanted || server.retry != 0) return;
-  if (was_up && now - connection.connected_at >= kShortLifetime) {
+  if (!server.is_listed || server.retry_timer != 0) return;
+  if (was_open && now - connection.connected_at >= kMinStableLifetime) {
     server.backoff = kMinBackoff;
     open_warm_connections(server);
     return;
   }
-  server.retry = loop_.after(server.backoff, [this, &server] {
-    server.retry = 0;
+  server.retry_timer = loop_.after(server.backoff, [this, &server] {
+    server.retry_timer = 0;
     open_warm_connections(server);
   });
   server.backoff = std::min(server.backoff * 2, kMaxBackoff);
 }
 
-// A server tells a release on the connection of its set-up, and on the next one that opens. While what we
-// said does not reach it, it takes a connection that we gave up for open, after the next one has opened too:
-// closed at our side, its releases would be lost for good.
-void ConnectionPool::half_close(Connection& connection, net::CloseReason why) {
+// A server sends a release on the connection of its set-up and on the next connection that opens. If the
+// network drops what the router sends, the server may take a connection that the router gave up for open even
+// after the next one has opened. If the router closed it fully, releases sent on it would be lost for good.
+void ConnectionPool::half_close(Connection& connection, net::CloseReason reason) {
   auto& server = connection.server;
-  const auto keep = connection.shared_from_this();
-  if (connection_count_ >= bounds_.upstream_connections || !connection.stream->is_open()) {
-    connection.stream->fail(why);
+  const auto keep_alive = connection.shared_from_this();
+  if (connection_count_ >= limits_.upstream_connections || !connection.stream->is_open()) {
+    connection.stream->fail(reason);
     return;
   }
   if (server.half_closed.size() >= kMaxHalfClosed) close_half_closed(server, server.half_closed.begin());
-  std::erase(server.connections, keep);
-  server.half_closed.push_back(keep);
+  std::erase(server.connections, keep_alive);
+  server.half_closed.push_back(keep_alive);
   connection.half_closed_at = net::Loop::now();
-  on_lost(connection, why);
+  on_connection_lost(connection, reason);
   connection.stream->close_output();
 }
 
-void ConnectionPool::on_half_closed_end(Connection& connection, net::CloseReason why) {
+void ConnectionPool::on_half_closed_end(Connection& connection, net::CloseReason reason) {
   auto& server = connection.server;
   std::erase(server.half_closed, connection.shared_from_this());
   --connection_count_;
-  // It closed in its turn: all that it told by that connection has come. A reset may have overtaken some of
-  // it.
-  if (why == net::CloseReason::kEnded || !has_established_calls_at(server.id)) return;
+  // The server closed it too, so everything it sent on that connection has arrived. A reset, however, may
+  // have destroyed messages in transit.
+  if (reason == net::CloseReason::kEnded || !has_established_calls_at(server.id)) return;
   server.releases_maybe_lost_since = net::Loop::now();
-  loop_.wheel.cancel(std::exchange(server.retry, 0));
+  loop_.wheel.cancel(std::exchange(server.retry_timer, 0));
   server.backoff = kMinBackoff;
   open_warm_connections(server);
 }
@@ -458,7 +475,7 @@
 
 bool ConnectionPool::close_oldest_half_closed() {
   Server* oldest = nullptr;
-  for (const auto& [id, server] : by_id_) {
+  for (const auto& [id, server] : servers_by_id_) {
     if (server->half_closed.empty()) continue;
     const bool older = oldest == nullptr || server->half_closed.front()->half_closed_at <
                                                 oldest->half_closed.front()->half_closed_at;
@@ -469,27 +486,28 @@
   return true;
 }
 
-void ConnectionPool::close_useless_half_closed(Server& server, Instant now) {
+void ConnectionPool::close_expired_half_closed(Server& server, Instant now) {
   for (auto at = server.half_closed.begin(); at != server.half_closed.end();) {
     const auto& connection = **at;
-    const bool is_useless = connection.established == 0 && now - *connection.half_closed_at > kHalfClosedFor;
-    at = is_useless ? close_half_closed(server, at) : std::next(at);
+    const bool is_expired =
+        connection.established == 0 && now - *connection.half_closed_at > kMinHalfClosedTime;
+    at = is_expired ? close_half_closed(server, at) : std::next(at);
   }
 }
 
 bool ConnectionPool::should_reopen(const Server& server, Instant now) {
-  if (!server.is_wanted || now - server.reopened_at < kReopenInterval) return false;
+  if (!server.is_listed || now - server.reopened_at < kReopenInterval) return false;
   return std::any_of(server.half_closed.begin(), server.half_closed.end(), [now](const auto& connection) {
     return connection->established > 0 && now - *connection->half_closed_at >= kReopenInterval;
   });
 }
 
-// With as many connections as a server takes, one that carries nothing makes room.
+// If the server has the maximum number of connections, an idle one is half-closed to make room.
 void ConnectionPool::open_connection_for_releases(Server& server) {
   server.reopened_at = net::Loop::now();
   server.releases_maybe_lost_since = server.reopened_at;
   if (server.counted_connections() < kMaxConnections) {
-    loop_.wheel.cancel(std::exchange(server.retry, 0));
+    loop_.wheel.cancel(std::exchange(server.retry_timer, 0));
     open_warm_connections(server);
     return;
   }
@@ -509,60 +527,63 @@
   });
 }
 
-void ConnectionPool::end_on(Connection& connection, Outcome outcome) {
-  const auto over = std::exchange(connection.in_flight, {});
-  std::vector<std::string> probes;
-  for (const auto& [id, probe] : pending_health_checks_) {
-    if (probe.connection.get() == &connection) probes.push_back(id);
+void ConnectionPool::end_attempts_on(Connection& connection, Outcome outcome) {
+  const auto lost = std::exchange(connection.in_flight, {});
+  std::vector<std::string> health_check_ids;
+  for (const auto& [id, health_check] : pending_health_checks_) {
+    if (health_check.connection.get() == &connection) health_check_ids.push_back(id);
   }
-  for (const auto& ref : over) {
-    const auto attempt = find(ref);
+  for (const auto& ref : lost) {
+    const auto attempt = find_attempt(ref);
     if (attempt == attempts_.end()) continue;
-    drop(attempt);
+    remove_attempt(attempt);
     table_.on_attempt_ended(ref, {outcome, core::Cause::kTemporaryFailure, false, {}});
   }
-  for (const auto& id : probes) {
+  for (const auto& id : health_check_ids) {
     const auto found = pending_health_checks_.find(id);
     if (found == pending_health_checks_.end()) continue;
-    // One lost connection says nothing of the server while others are open: it is asked again by one of them.
-    auto& server = of(found->second.server);
-    const auto other = server.open_connections() > 0 ? pick_connection(server) : nullptr;
-    if (other) {
-      found->second.connection = other;
-      other->stream->send(options_head(id, own_name_));
+    // A single lost connection says nothing about the server while others are open: the health check is
+    // repeated on one of those.
+    auto& server = find_or_create_server(found->second.server);
+    const auto replacement = server.open_connections() > 0 ? pick_connection(server) : nullptr;
+    if (replacement) {
+      found->second.connection = replacement;
+      replacement->stream->send(options_head(id, own_name_));
     } else {
       end_health_check(id, Outcome::kConnectFailed, {});
     }
   }
 }
 
-// Guards against a connection that is open and serves no further use: its server has answered what was sent
-// by other connections later, or a message on it has begun and does not end. What is out on it is lost, and
-// held on to it would wait for its callers' whole patience.
+// Detects a connection that is open but unusable: the server has answered set-ups that were sent later on
+// other connections, or a message has begun to arrive and does not end. Set-ups in flight on it are lost, and
+// would otherwise wait until their callers give up.
 bool ConnectionPool::is_stalled(const Connection& connection, Instant now) {
   if (connection.partially_written && now - connection.partially_written->second > kPartialWriteTimeout)
     return true;
-  if (connection.half_since) return now - *connection.half_since > kHalfMessage;
+  if (connection.partial_message_since)
+    return now - *connection.partial_message_since > kPartialMessageTimeout;
   if (!connection.stream->is_open() || !connection.stall_suspected_at) return false;
-  if (now - *connection.stall_suspected_at > kStallSuspicionTime) return true;
-  return !connection.in_flight.empty() && now - connection.server.answered_at > kStalledTimeout;
+  if (now - *connection.stall_suspected_at > kStallSuspicionTimeout) return true;
+  return !connection.in_flight.empty() && now - connection.server.last_answered_at > kStallConfirmationTime;
 }
 
-// Silence counts from when the connection was up: until then a set-up waits for the connection.
+// Time without an answer counts from when the connection opened; before that, a set-up only waits for the
+// connection.
 void ConnectionPool::update_stall_detection(Connection& connection, Instant now) {
   if (!connection.unanswered_since || connection.stall_suspected_at) return;
-  if (std::max(*connection.unanswered_since, connection.connected_at) + kStalledAfterSetUps <
-      connection.server.answered_sent)
+  if (std::max(*connection.unanswered_since, connection.connected_at) + kStallSetUpGap <
+      connection.server.last_answered_sent_at)
     connection.stall_suspected_at = now;
 }
 
-void ConnectionPool::schedule_watch() {
-  loop_.after(kWatchInterval, [this] {
+void ConnectionPool::schedule_check() {
+  loop_.after(kCheckInterval, [this] {
     const Instant now = net::Loop::now();
     std::vector<std::shared_ptr<Connection>> stalled;
     std::vector<Server*> to_reopen;
-    for (const auto& [id, server] : by_id_) {
-      close_useless_half_closed(*server, now);
+    for (const auto& [id, server] : servers_by_id_) {
+      close_expired_half_closed(*server, now);
       if (should_reopen(*server, now)) to_reopen.push_back(server.get());
       for (const auto& connection : server->connections) {
         update_stall_detection(*connection, now);
@@ -571,28 +592,30 @@
           connection->partially_written.reset();
         if (is_stalled(*connection, now)) stalled.push_back(connection);
         while (!connection->pending_releases.empty() &&
-               now - connection->pending_releases.front().sent > kReleaseConfirmationTimeout)
+               now - connection->pending_releases.front().sent_at > kReleaseConfirmationTimeout)
           connection->pending_releases.pop_front();
       }
     }
-    while (!over_.empty() && now - over_.front().at > kSecondAnswer) over_.pop_front();
+    while (!recently_ended_.empty() && now - recently_ended_.front().ended_at > kSecondAnswerWindow)
+      recently_ended_.pop_front();
     for (const auto& connection : stalled) {
       ++counters_.stalled_connections;
-      net::log::warn(malformed_log_limit_, "link to ", servers_.find(connection->server.id)->name,
-                     " is stuck: cut, with ", connection->in_flight.size(), " set-ups out");
+      net::log::warn(malformed_log_limit_,
+                     "sip: connection stalled: ", servers_.find(connection->server.id)->name,
+                     ": closed with ", connection->in_flight.size(), " set-ups in flight");
       half_close(*connection, net::CloseReason::kReset);
     }
     for (auto* server : to_reopen) open_connection_for_releases(*server);
-    schedule_watch();
+    schedule_check();
   });
 }
 
-// ---- what the core asks ---------------------------------------------------------------------------------
+// ---- requests of the core --------------------------------------------------------------------------------
 
 void ConnectionPool::set_up(const core::SetUp& set_up) {
-  auto& server = of(set_up.attempt.server);
-  // Answers name their call and not their attempt: after one that had left the next goes by another
-  // connection, by which no second or late answer to the first one comes.
+  auto& server = find_or_create_server(set_up.attempt.server);
+  // An answer identifies its call but not its attempt. If an earlier attempt of the call was sent, the next
+  // one uses another connection, where no second or late answer to the earlier one can arrive.
   const auto connection = pick_connection(server, recently_ended_on(set_up.attempt));
   if (!connection) {
     asio::post(loop_.io, [this, ref = set_up.attempt] {
@@ -600,12 +623,12 @@
     });
     return;
   }
-  Key key{server.id, std::string(set_up.id)};
-  by_call_[set_up.attempt.call] = key;
+  AttemptKey key{server.id, std::string(set_up.id)};
+  keys_by_call_[set_up.attempt.call] = key;
   attempts_[std::move(key)] = {.ref = set_up.attempt,
                                .number = std::string(set_up.number),
                                .connection = connection,
-                               .sent = net::Loop::now(),
+                               .sent_at = net::Loop::now(),
                                .established = false,
                                .established_on = {}};
   connection->in_flight.push_back(set_up.attempt);
@@ -616,21 +639,21 @@
 }
 
 bool ConnectionPool::cancel(const core::AttemptRef& attempt) {
-  const auto found = find(attempt);
+  const auto found = find_attempt(attempt);
   if (found == attempts_.end()) return false;
   const auto connection = found->second.connection;
   const std::string number = found->second.number;
   const std::string id = found->first.second;
-  drop(found);
+  remove_attempt(found);
   if (!connection || connection->stream->is_closed()) return false;
   if (connection->stream->take_back(tag(attempt))) {
     ++counters_.withdrawn;
-    // It never left, so that no answer to it tells nothing of the connection.
+    // It was never sent, so a missing answer to it says nothing about the connection.
     if (connection->in_flight.empty() && !connection->stall_suspected_at)
       connection->unanswered_since.reset();
     return true;
   }
-  over_.push_back({attempt.call, connection, net::Loop::now()});
+  recently_ended_.push_back({attempt.call, connection, net::Loop::now()});
   if (connection->stream->is_unsent(tag(attempt)))
     connection->partially_written = {tag(attempt), net::Loop::now()};
   connection->stream->send(request_head("CANCEL", {id, number, attempt.attempt + 1}, own_name_));
@@ -638,17 +661,17 @@
 }
 
 void ConnectionPool::release(const core::AttemptRef& attempt, core::Cause cause) {
-  const auto found = find(attempt);
+  const auto found = find_attempt(attempt);
   if (found == attempts_.end()) return;
   std::string id = found->first.second;
   auto release = request_head("BYE", {id, found->second.number, attempt.attempt + 2}, own_name_, cause);
-  auto& server = of(attempt.server);
-  drop(found);
+  auto& server = find_or_create_server(attempt.server);
+  remove_attempt(found);
   send_release(server, std::move(id), std::move(release));
 }
 
-// A release that is lost leaves a call standing for good: it is kept until it is confirmed, and told again
-// when its connection is lost before that.
+// A lost release would leave a call established at the server for good. It is therefore kept until the server
+// confirms it, and sent again if its connection is lost before that.
 void ConnectionPool::send_release(Server& server, std::string id, std::string release) {
   if (server.open_connections() > 0) {
     if (const auto connection = pick_connection(server)) {
@@ -659,45 +682,45 @@
       return;
     }
   }
-  if (!server.is_wanted || server.pending.size() >= bounds_.waiting_of_one) return;
-  server.pending.emplace_back(std::move(id), std::move(release));
+  if (!server.is_listed || server.unsent_releases.size() >= limits_.waiting_of_one) return;
+  server.unsent_releases.emplace_back(std::move(id), std::move(release));
   open_warm_connections(server);
 }
 
 void ConnectionPool::check_health(ServerId id) {
-  auto& server = of(id);
+  auto& server = find_or_create_server(id);
   const auto connection = pick_connection(server);
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(next_health_check_id_++));
-  PendingHealthCheck probe{id, connection, net::Loop::now(), 0};
-  probe.limit = loop_.after(
+  PendingHealthCheck health_check{id, connection, net::Loop::now(), 0};
+  health_check.timeout_timer = loop_.after(
       kHealthCheckTimeout, [this, key = std::string(text)] { end_health_check(key, Outcome::kTimeout, {}); });
-  pending_health_checks_.emplace(text, std::move(probe));
+  pending_health_checks_.emplace(text, std::move(health_check));
   if (connection) connection->stream->send(options_head(text, own_name_));
 }
 
 void ConnectionPool::end_health_check(const std::string& id, Outcome outcome, const LoadReport& load) {
   const auto found = pending_health_checks_.find(id);
   if (found == pending_health_checks_.end()) return;
-  const auto probe = std::move(found->second);
+  const auto health_check = std::move(found->second);
   pending_health_checks_.erase(found);
-  loop_.wheel.cancel(probe.limit);
-  table_.on_health_check_result(probe.server, outcome, net::Loop::now() - probe.sent, load);
+  loop_.wheel.cancel(health_check.timeout_timer);
+  table_.on_health_check_result(health_check.server, outcome, net::Loop::now() - health_check.sent_at, load);
 }
 
-void ConnectionPool::drop(Attempts::iterator at) {
+void ConnectionPool::remove_attempt(Attempts::iterator at) {
   if (at == attempts_.end()) return;
   if (const auto& connection = at->second.connection) {
     std::erase_if(connection->in_flight, [&](const auto& ref) { return ref.call == at->second.ref.call; });
   }
   if (const auto connection = at->second.established_on.lock()) --connection->established;
-  by_call_.erase(at->second.ref.call);
+  keys_by_call_.erase(at->second.ref.call);
   attempts_.erase(at);
 }
 
-ConnectionPool::Attempts::iterator ConnectionPool::find(const core::AttemptRef& attempt) {
-  const auto key = by_call_.find(attempt.call);
-  if (key == by_call_.end()) return attempts_.end();
+ConnectionPool::Attempts::iterator ConnectionPool::find_attempt(const core::AttemptRef& attempt) {
+  const auto key = keys_by_call_.find(attempt.call);
+  if (key == keys_by_call_.end()) return attempts_.end();
   const auto found = attempts_.find(key->second);
   if (found == attempts_.end() || found->second.ref.call != attempt.call ||
       found->second.ref.attempt != attempt.attempt) {
@@ -706,10 +729,10 @@
   return found;
 }
 
-// ---- what the servers say -------------------------------------------------------------------------------
+// ---- messages from servers -------------------------------------------------------------------------------
 
 std::size_t ConnectionPool::on_connection_bytes(Connection& connection, std::span<char> bytes) {
-  const auto keep = connection.shared_from_this();
+  const auto keep_alive = connection.shared_from_this();
   connection.unanswered_since.reset();
   connection.stall_suspected_at.reset();
   std::size_t taken = 0;
@@ -718,8 +741,8 @@
     if (read.state == SipRead::State::kMore) break;
     if (read.state == SipRead::State::kBad) {
       ++counters_.unreadable;
-      net::log::warn(malformed_log_limit_, "unreadable head from ", servers_.find(connection.server.id)->name,
-                     ": link closed");
+      net::log::warn(malformed_log_limit_, "sip: cannot parse a message head from ",
+                     servers_.find(connection.server.id)->name, ": connection closed");
       connection.stream->fail(net::CloseReason::kReset);
       return bytes.size();
     }
@@ -728,9 +751,9 @@
     taken += read.size();
   }
   if (taken == bytes.size()) {
-    connection.half_since.reset();
-  } else if (taken > 0 || !connection.half_since) {
-    connection.half_since = net::Loop::now();
+    connection.partial_message_since.reset();
+  } else if (taken > 0 || !connection.partial_message_since) {
+    connection.partial_message_since = net::Loop::now();
   }
   return taken;
 }
@@ -751,7 +774,7 @@
     return;
   }
   if (head.method == "NOTIFY") {
-    if (connection.half_closed_at) return;  // it may be old, and the other connections have told what is new
+    if (connection.half_closed_at) return;  // it may be outdated, and newer reports came on other connections
     table_.on_load_report(connection.server.id, read_load_report(head.occupancy));
   } else if (head.method == "BYE") {
     on_bye(connection, head);
@@ -765,57 +788,56 @@
   auto& server = connection.server;
   if (head.status < 200) return;
   const auto found = attempts_.find({server.id, std::string(head.call_id)});
-  // The Call-ID and the method tell whose answer it is, nothing else does: servers answer a second attempt
-  // too with the number 1 in CSeq.
-  // An answer comes by the connection of its attempt (PROTOCOL: a set-up is given up with its connection). By
-  // another connection it is a second answer to an earlier attempt of the same call at this server.
-  const bool current =
+  // Only the Call-ID and the method match an answer to its call: servers answer a second attempt with CSeq
+  // number 1 too. The answer arrives on the connection of its attempt, because closing a connection ends its
+  // set-ups. On another connection it is a second answer to an earlier attempt of the call at this server.
+  const bool is_current =
       found != attempts_.end() && !found->second.established && found->second.connection.get() == &connection;
-  const SipCall call{head.call_id, current ? std::string_view(found->second.number) : "late",
+  const SipCall call{head.call_id, is_current ? std::string_view(found->second.number) : "late",
                      std::max(head.sequence, 1U)};
-  // Every final answer is acknowledged, also one that crossed our CANCEL or came after our patience.
+  // Every final answer is acknowledged, also one that crosses a CANCEL or arrives after the timeout.
   connection.stream->send(request_head("ACK", call, own_name_));
-  if (current && found->second.sent > server.answered_sent) {
-    server.answered_sent = found->second.sent;
-    server.answered_at = net::Loop::now();
+  if (is_current && found->second.sent_at > server.last_answered_sent_at) {
+    server.last_answered_sent_at = found->second.sent_at;
+    server.last_answered_at = net::Loop::now();
   }
   if (head.status < 300) {
-    // The answer of the call that stands, repeated, or one to an earlier attempt while another is out: a
-    // release would cut that call.
-    if (!current && found != attempts_.end()) {
+    // Either a repeated answer of the established call, or an answer to an earlier attempt while another one
+    // is in flight. A release would end that call at the server.
+    if (!is_current && found != attempts_.end()) {
       ++counters_.second_answers;
       return;
     }
-    const bool plausible = is_description(read.body);
-    if (current && plausible) {
+    const bool is_valid = is_description(read.body);
+    if (is_current && is_valid) {
       const auto ref = found->second.ref;
       found->second.established = true;
-      if (const auto by = std::exchange(found->second.connection, nullptr)) {
-        ++by->established;
-        found->second.established_on = by;
-        std::erase_if(by->in_flight, [&](const auto& one) { return one.call == ref.call; });
+      if (const auto connection_of_call = std::exchange(found->second.connection, nullptr)) {
+        ++connection_of_call->established;
+        found->second.established_on = connection_of_call;
+        std::erase_if(connection_of_call->in_flight, [&](const auto& one) { return one.call == ref.call; });
       }
       if (table_.on_established(ref, read.body)) return;
-      drop(find(ref));
+      remove_attempt(find_attempt(ref));
     }
     const std::string id(head.call_id);
     auto release =
         request_head("BYE", {call.id, call.number, call.sequence + 1}, own_name_, core::Cause::kNormal);
-    if (current && !plausible) {
-      // It has run, and what it says is malformed: released there, and no part of it is passed on. The
-      // connection carries nothing more.
+    if (is_current && !is_valid) {
+      // The server has set the call up but its description is malformed: the call is released, nothing is
+      // passed on to the caller, and the connection is closed.
       ++counters_.malformed_answers;
-      net::log::warn(malformed_log_limit_, "spoilt answer of ", servers_.find(server.id)->name, " to ", id,
-                     ": link closed");
-      const auto keep = connection.shared_from_this();
+      net::log::warn(malformed_log_limit_, "sip: malformed description from ", servers_.find(server.id)->name,
+                     " in the answer to call ", id, ": call released and connection closed");
+      const auto keep_alive = connection.shared_from_this();
       connection.stream->fail(net::CloseReason::kReset);
       send_release(server, id, std::move(release));
       return;
     }
     ++counters_.late_answers;
-    net::log::info(late_answer_log_limit_, "late answer of ", servers_.find(server.id)->name,
-                   " released: ", call.id);
-    // Nobody waits for it any more: it is released, and no second answer is passed on.
+    net::log::info(late_answer_log_limit_, "sip: late answer from ", servers_.find(server.id)->name,
+                   ": call released: ", call.id);
+    // The attempt is over, so the call is released at the server and the answer is not passed on.
     if (connection.half_closed_at) {
       send_release(server, id, std::move(release));
     } else {
@@ -823,19 +845,19 @@
     }
     return;
   }
-  if (!current) {
+  if (!is_current) {
     ++counters_.second_answers;
     return;
   }
   const auto ref = found->second.ref;
-  over_.push_back({ref.call, found->second.connection, net::Loop::now()});
-  drop(found);
+  recently_ended_.push_back({ref.call, found->second.connection, net::Loop::now()});
+  remove_attempt(found);
   core::AttemptEnd end;
   end.load = read_load_report(head.occupancy);
   switch (head.status) {
     case 503:
       end.outcome = Outcome::kFull;
-      end.retry_after = read_lag(head.diagnosis, head.lag);
+      end.retry_after = read_retry_after(head.diagnosis, head.lag);
       break;
     case 480:
       end.outcome = Outcome::kNotSent;
@@ -854,18 +876,19 @@
   connection.stream->send(ok_head(head));
   const auto found = attempts_.find({connection.server.id, std::string(head.call_id)});
   if (found == attempts_.end()) {
-    ++counters_.unknown_ids;  // a release is told again on the next connection that opens
+    ++counters_.unknown_ids;  // normal: servers repeat a release on the next connection that opens
     return;
   }
   const auto ref = found->second.ref;
   const bool established = found->second.established;
-  // Of an earlier attempt of this call, which went by that connection and was answered unheard.
+  // A release on a half-closed connection for a call that is not established belongs to an earlier attempt,
+  // whose answer was never received.
   if (connection.half_closed_at && !established) return;
-  drop(found);
-  const int cause = read_reason(head.reason).value_or(static_cast<int>(core::Cause::kNormal));
-  const bool ok = cause == static_cast<int>(core::Cause::kNormal);
+  remove_attempt(found);
+  const int cause = read_q850_cause(head.reason).value_or(static_cast<int>(core::Cause::kNormal));
+  const bool is_normal = cause == static_cast<int>(core::Cause::kNormal);
   core::AttemptEnd end;
-  end.outcome = ok && established ? Outcome::kOk : Outcome::kReset;
+  end.outcome = is_normal && established ? Outcome::kOk : Outcome::kReset;
   end.cause = static_cast<core::Cause>(cause);
   if (!connection.half_closed_at) end.load = read_load_report(head.occupancy);
   table_.on_attempt_ended(ref, end);
--- a/src/sip/connection_pool.hpp
+++ b/src/sip/connection_pool.hpp
@@ -1,5 +1,5 @@
-// The connections to the session servers that speak SIP: some are kept warm to each, and every attempt knows
-// the one it left by.
+// Connection pool for the session servers that speak SIP. A few connections to each server are kept open, and
+// every attempt records the connection it was sent on.
 #pragma once
 
 #include <cstdint>
@@ -18,78 +18,89 @@
 
 namespace amberknot::sip {
 
+/// Sends set-ups, cancels, releases and health checks to the SIP servers, and reports the outcomes to the
+/// call table. Runs on the thread of the event loop.
 class ConnectionPool : public core::UpstreamPool {
  public:
+  /// `own_name` goes into the Via header; a connection not open after `connect_timeout` takes no set-ups.
   ConnectionPool(net::Loop& loop, core::CallTable& table, core::EndpointRegistry& servers,
-                 core::Counters& counters, const net::ResourceLimits& bounds, std::string own_name,
-                 Duration connect_limit);
+                 core::Counters& counters, const net::ResourceLimits& limits, std::string own_name,
+                 Duration connect_timeout);
   ~ConnectionPool() override;
 
   void on_endpoint_changed(const core::Endpoint& server) override;
   void forget_server(ServerId server) override;
-  [[nodiscard]] std::size_t servers() const { return by_id_.size(); }
+  /// Number of servers known to the pool.
+  [[nodiscard]] std::size_t servers() const { return servers_by_id_.size(); }
 
   void set_up(const core::SetUp& set_up) override;
   bool cancel(const core::AttemptRef& attempt) override;
   void release(const core::AttemptRef& attempt, core::Cause cause) override;
-  void forget(const core::AttemptRef& attempt) override { drop(find(attempt)); }
+  void forget(const core::AttemptRef& attempt) override { remove_attempt(find_attempt(attempt)); }
   void check_health(ServerId server) override;
 
  private:
   struct Connection;
   struct Server;
-  using HalfClosed =
-      std::vector<std::shared_ptr<Connection>>;  ///< given up by us and read on, the first one first
-  /// One attempt that is out, or a call that stands.
+  /// Connections that the router has stopped sending on, oldest first.
+  using HalfClosed = std::vector<std::shared_ptr<Connection>>;
+  /// An attempt in flight or an established call.
   struct Attempt {
     core::AttemptRef ref;
     std::string number;
-    std::shared_ptr<Connection> connection;  ///< which it left by; null once it stands or that is lost
-    Instant sent{};
+    /// The connection it was sent on; null once the call is established or the connection is lost.
+    std::shared_ptr<Connection> connection;
+    Instant sent_at{};
     bool established = false;
-    std::weak_ptr<Connection> established_on;  ///< once it stands
+    std::weak_ptr<Connection> established_on;  ///< the connection of an established call
   };
   struct PendingHealthCheck {
     ServerId server{};
     std::shared_ptr<Connection> connection;
-    Instant sent{};
-    core::TimerWheel::Handle limit = 0;
+    Instant sent_at{};
+    core::TimerWheel::Handle timeout_timer = 0;
   };
-  using Key = std::pair<ServerId, std::string>;  ///< a Call-ID means a call only at its server
-  struct KeyHash {
-    std::size_t operator()(const Key& key) const {
+  using AttemptKey = std::pair<ServerId, std::string>;  ///< a Call-ID is unique only within one server
+  struct AttemptKeyHash {
+    std::size_t operator()(const AttemptKey& key) const {
       return std::hash<std::string>{}(key.second) * 31 + static_cast<std::size_t>(key.first);
     }
   };
-  using Attempts = std::unordered_map<Key, Attempt, KeyHash>;
+  using Attempts = std::unordered_map<AttemptKey, Attempt, AttemptKeyHash>;
 
-  Server& of(ServerId id);
+  /// Returns the entry of a server, which is created if there is none.
+  Server& find_or_create_server(ServerId id);
   void open_warm_connections(Server& server);
   void connect(Server& server);
-  /// `avoid`: not that connection, as long as there is another or one can be opened.
+  /// Returns null if no connection can be opened. `avoid` is returned only if there is no other connection
+  /// and none can be opened.
   std::shared_ptr<Connection> pick_connection(Server& server, const Connection* avoid = nullptr);
-  /// The connection by which an attempt of the call went to that server and ended of late; null: none.
+  /// Returns the connection that a recent attempt of the call at that server was sent on, or null.
   [[nodiscard]] const Connection* recently_ended_on(const core::AttemptRef& attempt) const;
   void on_connection_open(Connection& connection);
-  /// Its time to come up is over, and what waits on it is not kept; it may come up for others.
-  void on_connection_late(Connection& connection);
-  /// What never left by the connection goes by another one, or ends where nothing listens any more (`dead`).
-  void move_unsent(Connection& connection, bool dead);
-  void on_connection_closed(Connection& connection, net::CloseReason why);
-  /// What a connection carried goes by others or ends, and others are opened in its place. It is listed no
-  /// more.
-  void on_lost(Connection& connection, net::CloseReason why);
-  /// Gives a connection up that is open and serves no further use. Its server may not know of that for some
-  /// time: until it closes too what it tells by that connection is heard.
-  void half_close(Connection& connection, net::CloseReason why);
-  void on_half_closed_end(Connection& connection, net::CloseReason why);
+  /// The connect timeout has expired. Set-ups that wait for the connection move away; it may still open for
+  /// others.
+  void on_connect_timeout(Connection& connection);
+  /// Moves set-ups that were never written to other connections. Ends them instead if the server
+  /// `is_unreachable` and has no open connection.
+  void move_unsent_set_ups(Connection& connection, bool is_unreachable);
+  void on_connection_closed(Connection& connection, net::CloseReason reason);
+  /// Moves or ends everything that was in flight on a connection that is already removed from its server, and
+  /// opens others in its place.
+  void on_connection_lost(Connection& connection, net::CloseReason reason);
+  /// Stops sending on a connection that is open but unusable. The server may not notice for some time; until
+  /// it closes the connection too, messages on it are still handled.
+  void half_close(Connection& connection, net::CloseReason reason);
+  void on_half_closed_end(Connection& connection, net::CloseReason reason);
   HalfClosed::iterator close_half_closed(Server& server, HalfClosed::iterator at);
-  /// Closes the one that was half-closed first, of all servers, for its descriptor; false: there is none.
+  /// Closes the oldest half-closed connection of all servers to free its descriptor. Returns false if there
+  /// is none.
   bool close_oldest_half_closed();
-  void close_useless_half_closed(Server& server, Instant now);
-  /// Whether a server has not closed for long what we gave up, and calls are established that came by it.
+  void close_expired_half_closed(Server& server, Instant now);
+  /// Whether a half-closed connection with established calls has been left open by the server for a long
+  /// time.
   static bool should_reopen(const Server& server, Instant now);
-  /// Opens another connection: a server tells there what was not confirmed.
+  /// Opens another connection, on which the server repeats its unconfirmed releases.
   void open_connection_for_releases(Server& server);
   std::size_t on_connection_bytes(Connection& connection, std::span<char> bytes);
   void on_message(Connection& connection, const SipRead& read);
@@ -97,13 +108,13 @@
   void on_bye(Connection& connection, const SipHead& head);
   void send_release(Server& server, std::string id, std::string release);
   [[nodiscard]] bool has_established_calls_at(ServerId server) const;
-  void end_on(Connection& connection, Outcome outcome);
+  void end_attempts_on(Connection& connection, Outcome outcome);
   void end_health_check(const std::string& id, Outcome outcome, const LoadReport& load);
-  void schedule_watch();
+  void schedule_check();
   static void update_stall_detection(Connection& connection, Instant now);
   [[nodiscard]] static bool is_stalled(const Connection& connection, Instant now);
-  Attempts::iterator find(const core::AttemptRef& attempt);
-  void drop(Attempts::iterator at);
+  Attempts::iterator find_attempt(const core::AttemptRef& attempt);
+  void remove_attempt(Attempts::iterator at);
   static net::TcpConnection::Tag tag(const core::AttemptRef& attempt) {
     return (static_cast<net::TcpConnection::Tag>(attempt.call) << 8U) + attempt.attempt + 1;
   }
@@ -112,22 +123,22 @@
   core::CallTable& table_;
   core::EndpointRegistry& servers_;
   core::Counters& counters_;
-  net::ResourceLimits bounds_;
+  net::ResourceLimits limits_;
   std::string own_name_;
-  Duration connect_limit_;
-  std::map<ServerId, std::unique_ptr<Server>> by_id_;
+  Duration connect_timeout_;
+  std::map<ServerId, std::unique_ptr<Server>> servers_by_id_;
   Attempts attempts_;
-  /// Attempts that ended of late, and by which connection they had left: a second or late answer may follow.
-  struct Over {
+  /// Attempts that ended recently and the connections they were sent on; a second or late answer may follow.
+  struct EndedAttempt {
     CallId call{};
     std::weak_ptr<Connection> connection;
-    Instant at{};
+    Instant ended_at{};
   };
-  std::deque<Over> over_;
-  std::unordered_map<CallId, Key> by_call_;
+  std::deque<EndedAttempt> recently_ended_;
+  std::unordered_map<CallId, AttemptKey> keys_by_call_;
   std::unordered_map<std::string, PendingHealthCheck> pending_health_checks_;
   std::uint64_t next_health_check_id_ = 1;
-  std::size_t connection_count_ = 0;  ///< connecting and open, to all servers
+  std::size_t connection_count_ = 0;  ///< connecting, open and half-closed, to all servers
   net::log::RateLimiter late_answer_log_limit_, malformed_log_limit_, connection_log_limit_;
 };
 
--- a/tests/net_parse_test.cpp
+++ b/tests/net_parse_test.cpp
@@ -174,7 +174,7 @@
   };
   for (const auto& row : rows) {
     CAPTURE(row.lag);
-    CHECK(read_lag(row.diagnosis, row.lag) == row.wait);
+    CHECK(read_retry_after(row.diagnosis, row.lag) == row.wait);
   }
   const auto read = read_sip(
       "SIP/2.0 503 Full\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\nX-Diagnosis: acc\r\nx-lag: 1700\r\n"
@@ -184,10 +184,10 @@
 }
 
 TEST_CASE("causes and load reports") {
-  CHECK(read_reason("Q.850;cause=16") == 16);
-  CHECK(read_reason("Q.850\r\n ;cause=41;text=\"x\"") == 41);
-  CHECK_FALSE(read_reason("SIP;cause=200"));
-  CHECK_FALSE(read_reason(""));
+  CHECK(read_q850_cause("Q.850;cause=16") == 16);
+  CHECK(read_q850_cause("Q.850\r\n ;cause=41;text=\"x\"") == 41);
+  CHECK_FALSE(read_q850_cause("SIP;cause=200"));
+  CHECK_FALSE(read_q850_cause(""));
   const auto report = read_load_report("idle:12;circuits:40;lat_ms:2.5;max_rate:-1;odd;x:y");
   CHECK(report.free_lines == 12.0);
   CHECK(report.lines == 40.0);
