--- a/src/jsonl/codec.cpp
+++ b/src/jsonl/codec.cpp
@@ -21,7 +21,7 @@
 
 std::optional<JsonLine> JsonLineReader::read(std::span<char> line, char* end) {
   *end = '\0';
-  // A zero byte would end the text early and hide what follows.
+  // A zero byte would end the text early and hide the rest of the line.
   if (std::find(line.begin(), line.end(), '\0') != line.end()) return std::nullopt;
   auto& document = parser_->document;
   document = rapidjson::Document();
@@ -39,13 +39,13 @@
   if (needs_id && !is_call_id(read.sid)) return std::nullopt;
   if (const auto* attrs = settings::member(document, "attrs")) {
     read.call_class = settings::text_in(*attrs, "class");
-    read.left = settings::text_in(*attrs, "left");
+    read.remaining_ms = settings::text_in(*attrs, "left");
     read.tenant = settings::text_in(*attrs, "tenant");
-    read.key = settings::text_in(*attrs, "key");
+    read.number = settings::text_in(*attrs, "key");
     read.extras = settings::text_in(*attrs, "extras");
   }
   if (const auto* text = settings::member(document, "text")) {
-    // Half of a surrogate pair has no bytes in UTF-8; passed on it would spoil the other side's message.
+    // A lone surrogate cannot be encoded in UTF-8 and would make the message to the server malformed.
     read.has_text = text->IsString() && !settings::has_lone_surrogate(settings::text_of(*text));
     read.text = settings::text_of(*text);
   }
@@ -69,12 +69,12 @@
     if (!value) return std::nullopt;
     if (name == "dest") {
       if (*value < 0 || *value > 1e9 || *value != std::floor(*value)) return std::nullopt;
-      extras.dest = static_cast<std::uint32_t>(*value);
+      extras.destination_pool = static_cast<std::uint32_t>(*value);
     } else if (name == "width") {
       if (*value <= 0 || *value > 1e6) return std::nullopt;
       extras.width = *value;
     } else if (name == "again") {
-      extras.again = *value != 0;
+      extras.is_redial = *value != 0;
     }
   }
   return extras;
@@ -82,7 +82,7 @@
 
 namespace {
 
-std::string line_of(std::string_view type, std::string_view sid) {
+std::string start_line(std::string_view type, std::string_view sid) {
   std::string line = "{\"msg\":\"";
   line += type;
   line += "\",\"sid\":";
@@ -94,7 +94,7 @@
 }  // namespace
 
 std::string ready_line(std::string_view sid, std::string_view description) {
-  auto line = line_of("ready", sid);
+  auto line = start_line("ready", sid);
   line += "},\"text\":";
   settings::append_quoted(line, description);
   line += "}\n";
@@ -102,7 +102,7 @@
 }
 
 std::string close_line(std::string_view sid, core::Cause cause, std::optional<Duration> wait) {
-  auto line = line_of("close", sid);
+  auto line = start_line("close", sid);
   if (wait) {
     line += "\"wait\":\"" +
             std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(*wait).count()) + "\"";
@@ -112,11 +112,11 @@
 }
 
 std::string closed_line(std::string_view sid) {
-  return line_of("closed", sid) + "}}\n";
+  return start_line("closed", sid) + "}}\n";
 }
 
 std::string probed_line(std::string_view sid, bool passed) {
-  return line_of("probed", sid) + "},\"code\":" + (passed ? "1" : "0") + "}\n";
+  return start_line("probed", sid) + "},\"code\":" + (passed ? "1" : "0") + "}\n";
 }
 
 }  // namespace amberknot::jsonl
--- a/src/jsonl/frontend.cpp
+++ b/src/jsonl/frontend.cpp
@@ -14,34 +14,35 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A connection that has said nothing of use by then is closed: who is owed an answer or a close has 3 s.
+// A connection is closed if it has sent no useful message by then. It is less than the 3 s within which the
+// other side must get an answer or a close.
 constexpr Duration kFirstMessageTimeout = milliseconds{2400};
-// So long may a line be on its way.
-constexpr Duration kLineTimeout = milliseconds{2400};
-// Without a call, unanswered or standing, a connection is kept so long.
+// A line must be complete within this time after its first byte.
+constexpr Duration kPartialLineTimeout = milliseconds{2400};
+// How long a connection without unanswered or established calls may be idle.
 constexpr Duration kIdleTimeout = seconds{30};
-// A caller that has not come back by then is not told any more.
+// How long releases are kept for a caller that has no open connection.
 constexpr Duration kReleaseRetention = seconds{30};
-// A release that its caller has not confirmed (`closed`) when the connection is lost is told again, up to
-// this age; so many are remembered for a connection. Callers need not confirm: one that never does hears some
-// twice.
+// A release that the caller has not confirmed (`closed`) when its connection is lost is sent again, unless it
+// is older than this. The number of releases remembered per connection is bounded. Callers need not confirm,
+// so one that never does receives some releases twice.
 constexpr Duration kConfirmationTimeout = seconds{3};
 constexpr std::size_t kMaxSentReleases = 256;
 constexpr Duration kSweepInterval = milliseconds{200};
-// In standby: how often connections that owe nothing are looked for, and how long a new one has to say its
-// first line. The front keeps sending new connections for 0.2 s after the drain, and at 4 s none that is idle
-// or carried a request in the last 2 s may be left (DAYS, drain).
+// In standby: how often idle connections are closed, and how long a new connection may take to send its first
+// line. New connections arrive for 0.2 s after a drain begins, and 4 s after it no connection may be left
+// that is idle or carried a request in the last 2 s.
 constexpr Duration kIdleCloseInterval = milliseconds{50};
 constexpr Duration kFirstLineGracePeriod = milliseconds{150};
-// Lines that one connection may have read before the others get their turn.
+// Lines that are read from one connection before other connections get their turn.
 constexpr int kMaxLinesPerTurn = 16;
-// Of its class's deadline a caller may say to wait so many times.
+// Longest remaining time that a caller may state, as a multiple of the deadline of the call's class.
 constexpr double kMaxDeadlineFactor = 2.0;
-// What a call holds beside its texts, in all tables together.
-constexpr std::size_t kCallBytes = 1024;
+// Memory that a call takes in all tables together, without its texts.
+constexpr std::size_t kCallOverheadBytes = 1024;
 
-// Marks of queued lines: answers by their call, releases counted from here on.
-constexpr net::TcpConnection::Tag kReleaseTags = net::TcpConnection::Tag{1} << 40U;
+// Tags of queued lines: an answer has the tag of its call, releases are numbered from this value on.
+constexpr net::TcpConnection::Tag kFirstReleaseTag = net::TcpConnection::Tag{1} << 40U;
 net::TcpConnection::Tag answer_tag(CallId id) {
   return static_cast<net::TcpConnection::Tag>(id) + 1;
 }
@@ -60,21 +61,21 @@
 }  // namespace
 
 Frontend::Frontend(net::Loop& loop, core::CallTable& table, core::Counters& counters,
-                   const core::Names& names, const Settings& settings, const net::ResourceLimits& bounds,
+                   const core::Names& names, const Settings& settings, const net::ResourceLimits& limits,
                    const asio::ip::tcp::endpoint& listen, const translate::Translator* translator)
     : loop_(loop),
       table_(table),
       counters_(counters),
       names_(names),
       settings_(settings),
-      bounds_(bounds),
+      limits_(limits),
       translator_(translator),
       dialect_(translator != nullptr ? translator->client_no("json-lines").value() : 0),
       acceptor_(net::shared_acceptor(loop.io, listen)),
-      pause_(loop.io) {
-  where_ = net::text_of(acceptor_.local_endpoint());
+      accept_retry_timer_(loop.io) {
+  listen_address_ = net::text_of(acceptor_.local_endpoint());
   accept();
-  sweep();
+  schedule_sweep();
 }
 
 // ---- connections ----------------------------------------------------------------------------------------
@@ -83,11 +84,11 @@
   acceptor_.async_accept([this](const asio::error_code& error, asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (error) {
-      if (!acceptor_.is_open()) return;  // handed over
-      // Out of descriptors, most likely: accepting again at once would spin.
-      net::log::warn("accept failed: ", error.message());
-      pause_.expires_after(milliseconds{20});
-      pause_.async_wait([this](const asio::error_code& stopped) {
+      if (!acceptor_.is_open()) return;  // closed by a hot restart
+      // Most likely there is no free descriptor; accepting again at once would loop without progress.
+      net::log::warn("jsonl: accept failed, retried after a pause: ", error.message());
+      accept_retry_timer_.expires_after(milliseconds{20});
+      accept_retry_timer_.async_wait([this](const asio::error_code& stopped) {
         if (!stopped) accept();
       });
       return;
@@ -102,7 +103,9 @@
     add_connection(std::move(socket));
   } else {
     ++counters_.rejected_for_capacity;
-    net::log::warn(capacity_log_limit_, "connection refused: ", connections_.size(), " are open already");
+    net::log::warn(capacity_log_limit_,
+                   "jsonl: connection of a caller rejected at the connection limit: ", connections_.size(),
+                   " are open");
   }
 }
 
@@ -110,52 +113,52 @@
   auto stream = std::make_shared<net::TcpConnection>(loop_, *this);
   auto& connection = connections_[stream.get()];
   connection.stream = stream;
-  connection.accepted = net::Loop::now();
+  connection.accepted_at = net::Loop::now();
   stream->adopt(std::move(socket));
   if (stream->is_closed()) return;
   const auto caller = stream->remote().address();
-  by_caller_[caller].push_back(stream.get());
-  // What could not be told to this caller is told on its next connection.
+  connections_by_caller_[caller].push_back(stream.get());
+  // Releases that could not be sent to this caller before are sent on its new connection.
   const auto waiting = undelivered_.find(caller);
   if (waiting == undelivered_.end()) return;
-  undelivered_lines_ -= waiting->second.releases.size();
+  undelivered_count_ -= waiting->second.releases.size();
   const auto releases = std::move(waiting->second.releases);
   undelivered_.erase(waiting);
   for (const auto& release : releases) send_release(*stream, release);
 }
 
-// At the bound the one that is worth least gives way to the newcomer: one that is closing anyway, then the
-// oldest that has said nothing of use, then the one that has been idle longest, those with calls that stand
-// last, since their callers wait there for the release. One in the middle of a message only where there is no
-// other; one with a set-up open never.
+// At the connection limit, closes the least valuable connection to make room for the new one: first one that
+// is already closing, then the oldest that has sent no useful message, then the one idle for longest.
+// Connections with established calls come last, since their callers wait there for the release. A connection
+// in the middle of a message is closed only if there is no other, and one with an unanswered set-up never.
 bool Frontend::make_room() {
   std::erase_if(lingering_, [](const auto& stream) { return !stream->is_lingering(); });
-  if (connections_.size() + lingering_.size() < bounds_.callers) return true;
+  if (connections_.size() + lingering_.size() < limits_.callers) return true;
   if (!lingering_.empty()) {
     lingering_.front()->close();
     lingering_.pop_front();
     return true;
   }
-  Connection* victim = nullptr;
-  std::tuple<bool, bool, bool, Instant> victim_rank;
-  for (auto& [key, one] : connections_) {
-    if (one.unanswered > 0) continue;
-    const std::tuple rank(is_busy(one), one.is_useful, !one.calls.empty(),
-                          one.is_useful ? one.stream->used_at() : one.accepted);
-    if (victim != nullptr && rank >= victim_rank) continue;
-    victim = &one;
-    victim_rank = rank;
+  Connection* evicted = nullptr;
+  std::tuple<bool, bool, bool, Instant> evicted_rank;
+  for (auto& [key, connection] : connections_) {
+    if (connection.unanswered > 0) continue;
+    const std::tuple rank(has_pending_data(connection), connection.is_useful, !connection.calls.empty(),
+                          connection.is_useful ? connection.stream->used_at() : connection.accepted_at);
+    if (evicted != nullptr && rank >= evicted_rank) continue;
+    evicted = &connection;
+    evicted_rank = rank;
   }
-  if (victim == nullptr) return false;
+  if (evicted == nullptr) return false;
   ++counters_.evicted;
-  close_connection(*victim, false);
+  close_connection(*evicted, false);
   return true;
 }
 
-void Frontend::close_connection(Connection& connection, bool with_what_is_queued) {
+void Frontend::close_connection(Connection& connection, bool flush_output) {
   const auto stream = connection.stream;
-  forget(*stream, with_what_is_queued);
-  if (with_what_is_queued) {
+  remove_connection(*stream, flush_output);
+  if (flush_output) {
     stream->finish();
     lingering_.push_back(stream);
   } else {
@@ -163,8 +166,8 @@
   }
 }
 
-bool Frontend::is_busy(const Connection& one) {
-  return one.partial_line_since || one.stream->queued() > 0 || one.stream->has_unread();
+bool Frontend::has_pending_data(const Connection& connection) {
+  return connection.partial_line_since || connection.stream->queued() > 0 || connection.stream->has_unread();
 }
 
 std::size_t Frontend::on_bytes(net::TcpConnection& stream, std::span<char> bytes) {
@@ -176,7 +179,8 @@
     const auto size = static_cast<std::size_t>(end - rest.begin());
     if (size > net::kMaxMessage || (end != rest.end() && !on_line(from, rest.first(size), &*end))) {
       ++counters_.unreadable;
-      net::log::warn(unreadable_log_limit_, "unreadable line from ", stream.remote(), ": connection closed");
+      net::log::warn(unreadable_log_limit_, "jsonl: cannot parse a line from caller ", stream.remote(),
+                     ": connection closed");
       close_connection(from, true);
       return bytes.size();
     }
@@ -215,109 +219,113 @@
       from.is_useful = true;
       from.stream->send(probed_line(read->sid, !is_standby_));
       break;
-    case JsonLine::Type::kOther:  // `closed` among them: that release is heard
-      std::erase_if(from.sent_releases, [&](const SentRelease& one) { return one.release.id == read->sid; });
+    case JsonLine::Type::kOther:  // `closed` is one of these: it confirms a release
+      std::erase_if(from.sent_releases,
+                    [&](const SentRelease& sent) { return sent.release.id == read->sid; });
       break;
   }
   return true;
 }
 
-void Frontend::on_closed(net::TcpConnection& stream, net::CloseReason why) {
-  net::log::debug("caller ", stream.remote(), " ", name(why));
-  forget(stream, false);
+void Frontend::on_closed(net::TcpConnection& stream, net::CloseReason reason) {
+  net::log::debug("jsonl: connection of caller ", stream.remote(), " closed: ", name(reason));
+  remove_connection(stream, false);
 }
 
-void Frontend::forget(net::TcpConnection& stream, bool was_written) {
+void Frontend::remove_connection(net::TcpConnection& stream, bool was_flushed) {
   const auto found = connections_.find(&stream);
   if (found == connections_.end()) return;
   const auto closed = std::move(found->second);
   connections_.erase(found);
-  if (const auto caller = by_caller_.find(stream.remote().address()); caller != by_caller_.end()) {
+  if (const auto caller = connections_by_caller_.find(stream.remote().address());
+      caller != connections_by_caller_.end()) {
     std::erase(caller->second, &stream);
-    if (caller->second.empty()) by_caller_.erase(caller);
+    if (caller->second.empty()) connections_by_caller_.erase(caller);
   }
-  // What was not answered on it never can be; what stands belongs to no connection.
-  std::vector<CallId> given_up;
-  std::vector<CallId> unwritten;
+  // Calls without an answer end with their connection; established calls are independent of it.
+  std::vector<CallId> abandoned_ids;
+  std::vector<CallId> undelivered_ids;
   for (const CallId id : closed.calls) {
     auto& call = calls_.at(id);
     call.connection = nullptr;
-    const bool is_undelivered = call.answered && !was_written && stream.is_unsent(answer_tag(id));
+    const bool is_undelivered = call.answered && !was_flushed && stream.is_unsent(answer_tag(id));
     if (call.answered && !is_undelivered) continue;
     remove_call(id);
-    (is_undelivered ? unwritten : given_up).push_back(id);
+    (is_undelivered ? undelivered_ids : abandoned_ids).push_back(id);
   }
-  for (const CallId id : given_up) table_.abandon(id);
-  // Its caller cannot have heard that the call stands, and will never end it.
-  counters_.undelivered_answers += unwritten.size();
-  for (const CallId id : unwritten) table_.close_by_client(id, core::Cause::kNormal);
-  if (was_written) return;  // closed from here, once all has left
-  // What was told on it and not confirmed may be lost with it: told again elsewhere, as servers' releases
-  // are.
+  for (const CallId id : abandoned_ids) table_.abandon(id);
+  // The caller did not get the answer, does not know that the call is established and will never release it.
+  counters_.undelivered_answers += undelivered_ids.size();
+  for (const CallId id : undelivered_ids) table_.close_by_client(id, core::Cause::kNormal);
+  if (was_flushed) return;  // closed by this side after all output was written
+  // Unconfirmed releases may be lost with the connection and are sent again on another one.
   const Instant now = net::Loop::now();
-  for (const auto& one : closed.sent_releases) {
-    if (stream.is_unsent(one.tag) || now - one.at <= kConfirmationTimeout)
-      send_release_to_caller(one.release);
+  for (const auto& sent : closed.sent_releases) {
+    if (stream.is_unsent(sent.tag) || now - sent.at <= kConfirmationTimeout)
+      send_release_to_caller(sent.release);
   }
 }
 
-// Guards against connections that hold a place and say nothing, or never end a line: descriptors are few, and
-// their other side is owed a close.
-void Frontend::sweep() {
+// Closes connections that are silent or never complete a line: descriptors are scarce, and the other side
+// must get a close.
+void Frontend::schedule_sweep() {
   loop_.after(kSweepInterval, [this] {
     const Instant now = net::Loop::now();
-    std::vector<net::TcpConnection*> out;
-    for (const auto& [key, one] : connections_) {
-      const bool is_silent = !one.is_useful && now - one.accepted > kFirstMessageTimeout;
-      const bool is_stalled = one.partial_line_since && now - *one.partial_line_since > kLineTimeout;
-      const bool is_idle = one.calls.empty() && now - one.stream->used_at() > kIdleTimeout;
-      const bool due = (is_silent && one.unanswered == 0) || is_stalled || is_idle;
-      // Bytes that have come and are not read yet: a set-up that its caller had written before this close.
-      if (due && !one.stream->has_unread()) out.push_back(key);
+    std::vector<net::TcpConnection*> to_close;
+    for (const auto& [key, connection] : connections_) {
+      const bool is_silent = !connection.is_useful && now - connection.accepted_at > kFirstMessageTimeout;
+      const bool is_stalled =
+          connection.partial_line_since && now - *connection.partial_line_since > kPartialLineTimeout;
+      const bool is_idle = connection.calls.empty() && now - connection.stream->used_at() > kIdleTimeout;
+      const bool due = (is_silent && connection.unanswered == 0) || is_stalled || is_idle;
+      // Unread bytes may be a set-up that the caller wrote before this close.
+      if (due && !connection.stream->has_unread()) to_close.push_back(key);
     }
-    for (auto* key : out) {
+    for (auto* key : to_close) {
       const auto found = connections_.find(key);
       if (found == connections_.end()) continue;
       if (!found->second.is_useful) {
         ++counters_.idle_closed;
-        net::log::info(idle_log_limit_, "caller ", key->remote(),
-                       " has said nothing of use: connection closed");
+        net::log::info(idle_log_limit_, "jsonl: caller ", key->remote(),
+                       " sent no useful message in time: connection closed");
       }
       close_connection(found->second, true);
     }
     std::erase_if(undelivered_, [&](const auto& item) {
       if (now - item.second.since <= kReleaseRetention) return false;
-      undelivered_lines_ -= item.second.releases.size();
+      undelivered_count_ -= item.second.releases.size();
       return true;
     });
     std::erase_if(lingering_, [](const auto& stream) { return !stream->is_lingering(); });
-    sweep();
+    schedule_sweep();
   });
 }
 
 void Frontend::set_standby(bool is_standby) {
   if (is_standby_ == is_standby) return;
   is_standby_ = is_standby;
-  net::log::info(is_standby ? "standby: callers are sent away" : "active: callers are taken again");
+  net::log::info(is_standby ? "jsonl: standby: health checks fail, idle connections are closed"
+                            : "jsonl: active: health checks pass, connections are kept");
   if (is_hot_restarting_) return;
-  loop_.wheel.cancel(std::exchange(closing_, 0));
+  loop_.wheel.cancel(std::exchange(idle_close_timer_, 0));
   if (is_standby) schedule_idle_close();
 }
 
 void Frontend::begin_hot_restart(std::function<void(core::UndeliveredRelease)> undelivered) {
   if (std::exchange(is_hot_restarting_, true)) return;
   undelivered_sink_ = std::move(undelivered);
-  // The kernel deals new connections out among all that listen, and resets those that wait at a listener that
-  // closes: what waits is taken first.
+  // The kernel distributes new connections among all listening processes, and resets those that are pending
+  // at a listener that closes. Pending connections are therefore accepted first.
   accept_pending();
   acceptor_.close();
-  // Their callers will come to the other process.
+  // The callers will connect to the new process.
   for (auto& [caller, waiting] : std::exchange(undelivered_, {})) {
     for (auto& release : waiting.releases) undelivered_sink_(std::move(release));
   }
-  undelivered_lines_ = 0;
-  net::log::info("handing over: ", connections_.size(), " callers' connections, each closed once answered");
-  loop_.wheel.cancel(std::exchange(closing_, 0));
+  undelivered_count_ = 0;
+  net::log::info("jsonl: hot restart: ", connections_.size(),
+                 " connections of callers, each closed once its set-ups are answered");
+  loop_.wheel.cancel(std::exchange(idle_close_timer_, 0));
   schedule_idle_close();
 }
 
@@ -334,7 +342,7 @@
 bool Frontend::is_settled() {
   if (acceptor_.is_open()) accept_pending();
   return std::none_of(connections_.begin(), connections_.end(),
-                      [](const auto& item) { return is_busy(item.second); }) &&
+                      [](const auto& item) { return has_pending_data(item.second); }) &&
          std::none_of(lingering_.begin(), lingering_.end(),
                       [](const auto& stream) { return stream->queued() > 0; });
 }
@@ -342,7 +350,7 @@
 void Frontend::shut_down() {
   acceptor_.close();
   std::vector<net::TcpConnection*> all;
-  for (const auto& [key, one] : connections_) all.push_back(key);
+  for (const auto& [key, connection] : connections_) all.push_back(key);
   for (auto* key : all) close_connection(connections_.at(key), true);
 }
 
@@ -351,20 +359,20 @@
                       [](const auto& stream) { return stream->is_lingering(); });
 }
 
-bool Frontend::may_close(const Connection& one, Instant now) const {
-  const bool is_fresh = !one.is_useful && now - one.accepted < kFirstLineGracePeriod;
-  // A set-up that has begun to come is read whole and answered here.
-  const bool has_calls = is_hot_restarting_ ? one.unanswered > 0 : !one.calls.empty();
-  return !is_fresh && !has_calls && !one.partial_line_since && !one.stream->has_unread();
+bool Frontend::may_close(const Connection& connection, Instant now) const {
+  const bool is_new = !connection.is_useful && now - connection.accepted_at < kFirstLineGracePeriod;
+  // A set-up that has partly arrived is read to its end and answered by this process.
+  const bool has_calls = is_hot_restarting_ ? connection.unanswered > 0 : !connection.calls.empty();
+  return !is_new && !has_calls && !connection.partial_line_since && !connection.stream->has_unread();
 }
 
 void Frontend::close_idle_connections() {
   const Instant now = net::Loop::now();
-  std::vector<net::TcpConnection*> out;
-  for (const auto& [key, one] : connections_) {
-    if (may_close(one, now)) out.push_back(key);
+  std::vector<net::TcpConnection*> to_close;
+  for (const auto& [key, connection] : connections_) {
+    if (may_close(connection, now)) to_close.push_back(key);
   }
-  for (auto* key : out) {
+  for (auto* key : to_close) {
     const auto found = connections_.find(key);
     if (found != connections_.end()) close_connection(found->second, true);
   }
@@ -373,55 +381,57 @@
 void Frontend::schedule_idle_close() {
   if (!is_standby_ && !is_hot_restarting_) return;
   close_idle_connections();
-  closing_ = loop_.after(kIdleCloseInterval, [this] { schedule_idle_close(); });
+  idle_close_timer_ = loop_.after(kIdleCloseInterval, [this] { schedule_idle_close(); });
 }
 
 std::shared_ptr<net::TcpConnection> Frontend::best_connection_of(const asio::ip::address& caller) {
-  const auto found = by_caller_.find(caller);
-  if (found == by_caller_.end()) return nullptr;
-  // One that has served calls, and the latest used, is the likeliest to be read: others may come from the
-  // same address and never ask for anything.
-  const auto rank = [this](net::TcpConnection* one) {
-    return std::pair(connections_.at(one).is_useful, one->used_at());
+  const auto found = connections_by_caller_.find(caller);
+  if (found == connections_by_caller_.end()) return nullptr;
+  // The most recently used connection that has served calls is the most likely to be read: other programs may
+  // connect from the same address and never send a request.
+  const auto rank = [this](net::TcpConnection* stream) {
+    return std::pair(connections_.at(stream).is_useful, stream->used_at());
   };
   net::TcpConnection* best = nullptr;
-  for (auto* one : found->second) {
-    if (one->is_open() && (best == nullptr || rank(best) < rank(one))) best = one;
+  for (auto* stream : found->second) {
+    if (stream->is_open() && (best == nullptr || rank(best) < rank(stream))) best = stream;
   }
   return best != nullptr ? best->shared_from_this() : nullptr;
 }
 
-// ---- what callers say -----------------------------------------------------------------------------------
+// ---- messages from callers -------------------------------------------------------------------------------
 
-const char* Frontend::check(const JsonLine& line, core::NewSetUp& to) const {
-  const auto cls = names_.class_no(line.call_class);
-  if (!cls) return "class";
+const char* Frontend::find_invalid_field(const JsonLine& line, core::NewSetUp& to) const {
+  const auto class_index = names_.class_no(line.call_class);
+  if (!class_index) return "class";
   const auto tenant =
       names_.tenants.empty() ? std::optional<std::size_t>(0) : index_of(names_.tenants, line.tenant);
   if (!tenant) return "tenant";
-  const auto& rules = settings_.classes[*cls];
-  // A caller keeps trying as long as its class's deadline: no try lasts much longer.
-  const auto left = settings::number_of(line.left);
+  const auto& rules = settings_.classes[*class_index];
+  // Callers do not wait much longer than the deadline of the class, so a larger value is an error.
+  const auto remaining_ms = settings::number_of(line.remaining_ms);
   const double max_wait_ms = kMaxDeadlineFactor * static_cast<double>(rules.deadline.count()) / 1000.0;
-  if (!left || *left < 0 || *left > max_wait_ms) return "left";
-  if (!core::is_number_called(line.key)) return "key";
+  if (!remaining_ms || *remaining_ms < 0 || *remaining_ms > max_wait_ms) return "left";
+  if (!core::is_number_called(line.number)) return "key";
   const auto extras = read_extras(line.extras);
-  if (line.extras.empty() || !extras || !extras->dest) return "extras";
-  const PoolId dest{*extras->dest};
-  if (!rules.pools.empty() && std::find(rules.pools.begin(), rules.pools.end(), dest) == rules.pools.end()) {
+  if (line.extras.empty() || !extras || !extras->destination_pool) return "extras";
+  const PoolId destination_pool{*extras->destination_pool};
+  if (!rules.pools.empty() &&
+      std::find(rules.pools.begin(), rules.pools.end(), destination_pool) == rules.pools.end()) {
     return "extras dest";
   }
-  if (*cls < names_.widths.size() && extras->width > names_.widths[*cls]) return "extras width";
+  if (*class_index < names_.widths.size() && extras->width > names_.widths[*class_index])
+    return "extras width";
   if (!line.has_text) return "text";
   to.id = line.sid;
   to.call_class = line.call_class;
-  to.number = line.key;
+  to.number = line.number;
   to.description = line.text;
-  to.facts.expires = net::Loop::now() + Duration{static_cast<std::int64_t>(*left * 1000.0)};
-  to.facts.first_choice = dest;
+  to.facts.expires = net::Loop::now() + Duration{static_cast<std::int64_t>(*remaining_ms * 1000.0)};
+  to.facts.first_choice = destination_pool;
   to.facts.width = extras->width;
-  to.facts.was_aborted = extras->again;
-  to.facts.call_class = *cls;
+  to.facts.was_aborted = extras->is_redial;
+  to.facts.call_class = *class_index;
   to.facts.tenant = *tenant;
   if (translator_ != nullptr) {
     using translate::Meaning;
@@ -429,12 +439,12 @@
         dialect_, translator_->client(dialect_).of(translate::Kind::kSetUp));
     message->set(Meaning::kCall, line.sid);
     message->set(Meaning::kClass, line.call_class);
-    message->set(Meaning::kPatience, static_cast<std::int64_t>(*left));
+    message->set(Meaning::kPatience, static_cast<std::int64_t>(*remaining_ms));
     message->set(Meaning::kTenant, line.tenant);
-    message->set(Meaning::kNumber, line.key);
+    message->set(Meaning::kNumber, line.number);
     message->set(Meaning::kDescription, line.text);
-    message->set(Meaning::kAgain, extras->again ? 1 : 0);
-    to.facts.excluded_versions = translator_->rule(*message, scratch_);
+    message->set(Meaning::kAgain, extras->is_redial ? 1 : 0);
+    to.facts.excluded_versions = translator_->rule(*message, translation_scratch_);
     to.message = std::move(message);
   }
   return nullptr;
@@ -442,59 +452,62 @@
 
 void Frontend::open(Connection& from, const JsonLine& line) {
   const std::string sid(line.sid);
-  if (const auto live = by_sid_.find(sid); live != by_sid_.end()) {
-    on_repeated_id(from, sid, live->second);
+  if (const auto existing = calls_by_sid_.find(sid); existing != calls_by_sid_.end()) {
+    on_repeated_id(from, sid, existing->second);
     return;
   }
   core::NewSetUp set_up;
-  if (const char* wrong = check(line, set_up)) {
+  if (const char* invalid_field = find_invalid_field(line, set_up)) {
     ++counters_.malformed;
-    net::log::warn(malformed_log_limit_, "set-up ", sid, " failed: bad or missing ", wrong);
+    net::log::warn(malformed_log_limit_, "jsonl: set-up ", sid,
+                   " failed: invalid or missing field: ", invalid_field);
     from.stream->send(close_line(sid, core::Cause::kInvalidContents));
     return;
   }
   from.is_useful = true;
   const std::size_t message_bytes =
       set_up.message ? sizeof(translate::Message) + 2 * set_up.description.size() : 0;
-  const std::size_t held =
-      kCallBytes + 2 * (set_up.description.size() + set_up.number.size()) + message_bytes;
-  if (held_ + held > bounds_.calls || from.held + held > bounds_.calls_of_one) {
-    // There is no memory to hold it: refused at once, with the time to stay away.
+  const std::size_t held_bytes =
+      kCallOverheadBytes + 2 * (set_up.description.size() + set_up.number.size()) + message_bytes;
+  if (held_bytes_ + held_bytes > limits_.calls || from.held_bytes + held_bytes > limits_.calls_of_one) {
+    // The memory limit is reached: rejected at once, with a time before which the caller should not retry.
     ++counters_.rejected_for_capacity;
-    net::log::warn(capacity_log_limit_, "set-up refused: ", held_, " bytes are held for unanswered calls");
+    net::log::warn(capacity_log_limit_, "jsonl: set-up rejected at the memory limit: unanswered calls hold ",
+                   held_bytes_, " bytes");
     from.stream->send(close_line(
         sid, core::Cause::kCongestion,
         settings_.limits.retry_advice ? std::optional(settings_.limits.max_retry_advice) : std::nullopt));
     return;
   }
   const CallId id = table_.admit(*this, std::move(set_up));
-  by_sid_[sid] = id;
-  calls_[id] = {sid, &from, from.stream->remote().address(), false, held};
+  calls_by_sid_[sid] = id;
+  calls_[id] = {sid, &from, from.stream->remote().address(), false, held_bytes};
   from.calls.insert(id);
   ++from.unanswered;
-  from.held += held;
-  held_ += held;
+  from.held_bytes += held_bytes;
+  held_bytes_ += held_bytes;
   table_.route(id);
 }
 
-// Two set-ups under one id. On one connection its caller could not tell their answers apart: both end with
-// the one that the id is owed. A stranger is answered where it asked, and the live call goes on.
-void Frontend::on_repeated_id(Connection& from, const std::string& sid, CallId live) {
+// Handles a set-up whose id belongs to a live call. If both came on one connection, the caller could not
+// match the answers to them, so both end with a single rejection. If it came on another connection, it is
+// rejected there and the live call goes on.
+void Frontend::on_repeated_id(Connection& from, const std::string& sid, CallId existing) {
   ++counters_.repeated_ids;
-  net::log::warn(repeated_log_limit_, "set-up with the id of a live call failed: ", sid);
-  if (calls_.at(live).connection == &from) {
-    finish(live, core::Cause::kInvalidContents);
-    table_.close_by_client(live, core::Cause::kInvalidContents);
+  net::log::warn(repeated_log_limit_, "jsonl: set-up failed, its id belongs to a live call: ", sid);
+  if (calls_.at(existing).connection == &from) {
+    end_call(existing, core::Cause::kInvalidContents);
+    table_.close_by_client(existing, core::Cause::kInvalidContents);
   } else {
     from.stream->send(close_line(sid, core::Cause::kInvalidContents));
   }
 }
 
 void Frontend::close(Connection& from, const JsonLine& line) {
-  const auto found = by_sid_.find(std::string(line.sid));
-  // Also where the id is not known: a release crosses ours, and its sender is owed that it was heard.
+  const auto found = calls_by_sid_.find(std::string(line.sid));
+  // Confirmed even if the id is unknown: a release may cross ours, and its sender must get a confirmation.
   from.stream->send(closed_line(line.sid));
-  if (found == by_sid_.end()) {
+  if (found == calls_by_sid_.end()) {
     ++counters_.unknown_ids;
     return;
   }
@@ -504,22 +517,22 @@
   table_.close_by_client(id, static_cast<core::Cause>(line.code.value_or(16)));
 }
 
-// ---- what the core says ---------------------------------------------------------------------------------
+// ---- requests of the core --------------------------------------------------------------------------------
 
-// The call is answered or over: what it held is free.
+// The call is answered or over, and its memory is no longer reserved.
 void Frontend::mark_answered(Call& call) {
   if (std::exchange(call.answered, true)) return;
-  held_ -= call.held;
+  held_bytes_ -= call.held_bytes;
   if (call.connection == nullptr) return;
   --call.connection->unanswered;
-  call.connection->held -= call.held;
+  call.connection->held_bytes -= call.held_bytes;
 }
 
 Frontend::Call Frontend::remove_call(CallId id) {
   const auto found = calls_.find(id);
   auto call = std::move(found->second);
   calls_.erase(found);
-  by_sid_.erase(call.sid);
+  calls_by_sid_.erase(call.sid);
   const bool answered = call.answered;
   mark_answered(call);
   call.answered = answered;
@@ -530,7 +543,7 @@
 bool Frontend::answer(CallId id, std::string_view description) {
   const auto found = calls_.find(id);
   if (found == calls_.end() || found->second.connection == nullptr) return false;
-  // A connection that cannot be written any more is lost, and its end about to be told.
+  // If the connection cannot be written any more, it is lost and on_closed() follows.
   if (!found->second.connection->stream->is_open()) return false;
   auto line = ready_line(found->second.sid, description);
   if (line.size() > net::kMaxMessage) return false;
@@ -540,18 +553,18 @@
 }
 
 void Frontend::reject(CallId id, core::Reason reason, Duration retry_after) {
-  finish(id, cause_of(reason), retry_after > Duration::zero() ? std::optional(retry_after) : std::nullopt);
+  end_call(id, cause_of(reason), retry_after > Duration::zero() ? std::optional(retry_after) : std::nullopt);
 }
 
 void Frontend::fail(CallId id, core::Reason reason) {
-  finish(id, cause_of(reason));
+  end_call(id, cause_of(reason));
 }
 
 void Frontend::release(CallId id, core::Cause cause) {
-  finish(id, cause);
+  end_call(id, cause);
 }
 
-void Frontend::finish(CallId id, core::Cause cause, std::optional<Duration> wait) {
+void Frontend::end_call(CallId id, core::Cause cause, std::optional<Duration> wait) {
   if (!calls_.contains(id)) return;
   const auto call = remove_call(id);
   const auto to = call.connection != nullptr ? call.connection->stream : nullptr;
@@ -580,7 +593,7 @@
   while (!sent_releases.empty() &&
          (sent_releases.size() >= kMaxSentReleases || now - sent_releases.front().at > kConfirmationTimeout))
     sent_releases.pop_front();
-  const auto tag = kReleaseTags + next_release_++;
+  const auto tag = kFirstReleaseTag + next_release_tag_++;
   stream.send(close_line(release.id, static_cast<core::Cause>(release.cause)), {}, tag);
   sent_releases.push_back({tag, std::move(release), now});
 }
@@ -595,12 +608,12 @@
     undelivered_sink_(std::move(release));
     return;
   }
-  if (undelivered_lines_ >= bounds_.waiting) return;
+  if (undelivered_count_ >= limits_.waiting) return;
   auto& waiting = undelivered_[caller];
-  if (waiting.releases.size() >= bounds_.waiting_of_one) return;
+  if (waiting.releases.size() >= limits_.waiting_of_one) return;
   waiting.since = net::Loop::now();
   waiting.releases.push_back(std::move(release));
-  ++undelivered_lines_;
+  ++undelivered_count_;
 }
 
 }  // namespace amberknot::jsonl
--- a/src/jsonl/frontend.hpp
+++ b/src/jsonl/frontend.hpp
@@ -1,5 +1,5 @@
-// The callers' front: accepts connections, reads JSON lines, and answers on whatever connection of the
-// caller is open.
+// Frontend for callers that speak JSON lines: accepts their connections, parses their lines, and sends
+// answers and releases.
 #pragma once
 
 #include <cstdint>
@@ -22,10 +22,14 @@
 
 namespace amberknot::jsonl {
 
+/// Runs on the thread of the event loop. A set-up is answered on its own connection; releases go out on any
+/// open connection of the caller, where the caller is identified by its address.
 class Frontend : public core::Frontend, public net::TcpConnection::Owner {
  public:
+  /// Starts to listen; throws asio::system_error if it cannot. `translator` is null if no set-up is
+  /// translated to another protocol.
   Frontend(net::Loop& loop, core::CallTable& table, core::Counters& counters, const core::Names& names,
-           const Settings& settings, const net::ResourceLimits& bounds, const asio::ip::tcp::endpoint& listen,
+           const Settings& settings, const net::ResourceLimits& limits, const asio::ip::tcp::endpoint& listen,
            const translate::Translator* translator = nullptr);
 
   bool answer(CallId call, std::string_view description) override;
@@ -33,7 +37,7 @@
   void fail(CallId call, core::Reason reason) override;
   void release(CallId call, core::Cause cause) override;
 
-  [[nodiscard]] std::string listen_address() const override { return where_; }
+  [[nodiscard]] std::string listen_address() const override { return listen_address_; }
   [[nodiscard]] std::size_t connections() const override { return connections_.size(); }
   [[nodiscard]] bool is_settled() override;
   void shut_down() override;
@@ -50,23 +54,23 @@
   };
   struct Connection {
     std::shared_ptr<net::TcpConnection> stream;
-    Instant accepted{};
+    Instant accepted_at{};
     std::optional<Instant> partial_line_since;
-    bool is_useful = false;            ///< a set-up of it was taken, or it ended or tested something
-    std::unordered_set<CallId> calls;  ///< that came by it
-    std::size_t unanswered = 0;        ///< of these
-    std::size_t held = 0;              ///< bytes for the unanswered ones
-    /// Releases told on it that its caller has not said it has heard.
+    bool is_useful = false;  ///< it has sent a valid set-up, a release of a known call or a health check
+    std::unordered_set<CallId> calls;  ///< that were set up on it
+    std::size_t unanswered = 0;        ///< number of `calls` without an answer
+    std::size_t held_bytes = 0;        ///< bytes reserved for the unanswered calls
+    /// Releases sent on it that the caller has not confirmed.
     std::deque<SentRelease> sent_releases;
   };
   struct Call {
     std::string sid;
-    Connection* connection = nullptr;  ///< by which it came; null once that is gone
+    Connection* connection = nullptr;  ///< it was set up on; null once that is closed
     asio::ip::address caller;
     bool answered = false;
-    std::size_t held = 0;
+    std::size_t held_bytes = 0;
   };
-  struct Waiting {
+  struct UndeliveredReleases {
     std::deque<core::UndeliveredRelease> releases;
     Instant since{};
   };
@@ -76,33 +80,36 @@
   void add_connection(asio::ip::tcp::socket socket);
   bool make_room();
   std::size_t on_bytes(net::TcpConnection& stream, std::span<char> bytes) override;
-  void on_closed(net::TcpConnection& stream, net::CloseReason why) override;
+  void on_closed(net::TcpConnection& stream, net::CloseReason reason) override;
   bool on_line(Connection& from, std::span<char> line, char* end);
   void open(Connection& from, const JsonLine& line);
-  /// What is wrong with a set-up, or null.
-  const char* check(const JsonLine& line, core::NewSetUp& to) const;
-  void on_repeated_id(Connection& from, const std::string& sid, CallId live);
+  /// Fills `to` from a set-up line. Returns the name of the first invalid or missing field, or null if all
+  /// are valid.
+  const char* find_invalid_field(const JsonLine& line, core::NewSetUp& to) const;
+  void on_repeated_id(Connection& from, const std::string& sid, CallId existing);
   void close(Connection& from, const JsonLine& line);
-  void close_connection(Connection& connection, bool with_what_is_queued);
-  /// The connection is gone: what was not answered on it is given up, and so is what was answered and not
-  /// written. Releases that were not written are told elsewhere.
-  void forget(net::TcpConnection& stream, bool was_written);
+  void close_connection(Connection& connection, bool flush_output);
+  /// Removes a connection that is closed. Its unanswered calls are abandoned, and so are calls whose answer
+  /// was not written. Releases that were not written are sent on other connections. `was_flushed`: all output
+  /// was or will be written.
+  void remove_connection(net::TcpConnection& stream, bool was_flushed);
   void accept_pending();
-  /// A close now would drop bytes: of a set-up on its way in, or of what was said.
-  [[nodiscard]] static bool is_busy(const Connection& one);
-  /// The final message of a call; on its own connection before the answer, on any of the caller's after it.
-  void finish(CallId call, core::Cause cause, std::optional<Duration> wait = std::nullopt);
-  /// After the answer: on any connection of the caller's, or its next one.
+  /// Whether closing now would lose data: a partly received or unread message, or queued output.
+  [[nodiscard]] static bool has_pending_data(const Connection& connection);
+  /// Sends the final message of a call: on its own connection before the answer, on any connection of the
+  /// caller after it.
+  void end_call(CallId call, core::Cause cause, std::optional<Duration> wait = std::nullopt);
+  /// Sends the release of an established call on any connection of the caller, or keeps it for the next one.
   void send_release_to_caller(core::UndeliveredRelease release);
   void send_release(net::TcpConnection& stream, core::UndeliveredRelease release);
   Call remove_call(CallId call);
   void mark_answered(Call& call);
   std::shared_ptr<net::TcpConnection> best_connection_of(const asio::ip::address& caller);
-  void sweep();
-  /// Whether a connection may be closed: in standby nothing waits or stands on it, and it had time for its
-  /// first line; handing over nothing waits on it.
-  [[nodiscard]] bool may_close(const Connection& one, Instant now) const;
-  /// In standby and handing over: closes each connection that owes nothing.
+  void schedule_sweep();
+  /// Whether a connection may be closed. In standby: it has no calls, and had time to send its first line.
+  /// During a hot restart: it has no unanswered calls.
+  [[nodiscard]] bool may_close(const Connection& connection, Instant now) const;
+  /// In standby and during a hot restart: closes each connection that may_close() allows.
   void close_idle_connections();
   void schedule_idle_close();
 
@@ -111,27 +118,28 @@
   core::Counters& counters_;
   const core::Names& names_;
   const Settings& settings_;
-  net::ResourceLimits bounds_;
-  const translate::Translator* translator_;  ///< null: nothing is translated
+  net::ResourceLimits limits_;
+  const translate::Translator* translator_;  ///< null if nothing is translated
   std::size_t dialect_ = 0;
-  mutable translate::Record scratch_;
+  mutable translate::Record translation_scratch_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer pause_;
+  asio::steady_timer accept_retry_timer_;
   JsonLineReader reader_;
   std::unordered_map<net::TcpConnection*, Connection> connections_;
-  std::map<asio::ip::address, std::vector<net::TcpConnection*>> by_caller_;
-  std::list<std::shared_ptr<net::TcpConnection>> lingering_;  ///< closed for us, not yet by the other side
+  std::map<asio::ip::address, std::vector<net::TcpConnection*>> connections_by_caller_;
+  std::list<std::shared_ptr<net::TcpConnection>> lingering_;  ///< closed by this side, not yet by the caller
   std::unordered_map<CallId, Call> calls_;
-  std::unordered_map<std::string, CallId> by_sid_;
-  std::size_t held_ = 0;                              ///< bytes for all unanswered calls
-  std::map<asio::ip::address, Waiting> undelivered_;  ///< releases for callers without a connection
-  std::size_t undelivered_lines_ = 0;
-  net::TcpConnection::Tag next_release_ = 1;
-  std::string where_;
+  std::unordered_map<std::string, CallId> calls_by_sid_;
+  std::size_t held_bytes_ = 0;  ///< bytes reserved for all unanswered calls
+  /// Releases for callers without an open connection.
+  std::map<asio::ip::address, UndeliveredReleases> undelivered_;
+  std::size_t undelivered_count_ = 0;  ///< releases in undelivered_
+  net::TcpConnection::Tag next_release_tag_ = 1;
+  std::string listen_address_;
   bool is_standby_ = false;
   bool is_hot_restarting_ = false;
   std::function<void(core::UndeliveredRelease)> undelivered_sink_;
-  core::TimerWheel::Handle closing_ = 0;
+  core::TimerWheel::Handle idle_close_timer_ = 0;
   net::log::RateLimiter unreadable_log_limit_, malformed_log_limit_, repeated_log_limit_, capacity_log_limit_,
       idle_log_limit_;
 };
--- a/tests/net_parse_test.cpp
+++ b/tests/net_parse_test.cpp
@@ -78,7 +78,7 @@
   JsonLineReader reader;
   const auto read = reader.read({line.data(), line.size() - 1}, &line.back());
   REQUIRE(read);
-  CHECK(read->left == "1500");
+  CHECK(read->remaining_ms == "1500");
   CHECK(read->text == "a\r\nb");
   CHECK(ready_line(read->sid, read->text) ==
         "{\"msg\":\"ready\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"text\":\"a\\r\\nb\"}\n");
@@ -111,8 +111,8 @@
     const auto read = read_extras(one.text);
     REQUIRE(read.has_value() == one.readable);
     if (!read) continue;
-    CHECK((read->dest ? static_cast<int>(*read->dest) : -1) == one.dest);
-    CHECK(read->again == one.again);
+    CHECK((read->destination_pool ? static_cast<int>(*read->destination_pool) : -1) == one.dest);
+    CHECK(read->is_redial == one.again);
   }
 }
 
