--- a/src/net/listen.hpp
+++ b/src/net/listen.hpp
@@ -1,4 +1,4 @@
-// Sockets that listen where a second process of the same router may listen too (DAYS: replacing the process).
+// Listening sockets whose address a second process of the same router can share during a hot restart.
 #pragma once
 
 #include <sys/socket.h>
@@ -7,33 +7,34 @@
 
 namespace amberknot::net {
 
-/// SO_REUSEPORT: while a new process starts beside the old one, both hold the clients' address and the kernel
-/// hands each new connection to one of them. Without it the second bind fails and the new process cannot
-/// start.
+/// SO_REUSEPORT. While a new process starts beside the old one, both listen on the address for clients and
+/// the kernel distributes new connections between them. Without it, bind fails in the new process, which then
+/// cannot start.
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-/// Opens `socket` and binds it at `at` beside any other process of the same user that does so with
-/// SO_REUSEPORT: the one way both the clients' listener and the siblings' datagrams are shared.
+/// Opens `socket` and binds it to `address`, which it may share with any other process of the same user that
+/// sets SO_REUSEPORT. Used for the listeners for clients and the datagram socket for siblings. Throws
+/// asio::system_error on failure.
 template <typename Socket>
-void bind_shared(Socket& socket, const typename Socket::endpoint_type& at) {
-  socket.open(at.protocol());
+void bind_shared(Socket& socket, const typename Socket::endpoint_type& address) {
+  socket.open(address.protocol());
   socket.set_option(asio::socket_base::reuse_address(true));
   socket.set_option(ReusePort(true));
-  socket.bind(at);
+  socket.bind(address);
 }
 
-/// Listens at `at`, shared as above.
-inline asio::ip::tcp::acceptor shared_acceptor(asio::io_context& io, const asio::ip::tcp::endpoint& at) {
+/// Returns an acceptor that listens on `address`, shared by bind_shared().
+inline asio::ip::tcp::acceptor shared_acceptor(asio::io_context& io, const asio::ip::tcp::endpoint& address) {
   asio::ip::tcp::acceptor acceptor(io);
-  bind_shared(acceptor, at);
+  bind_shared(acceptor, address);
   acceptor.listen(asio::socket_base::max_listen_connections);
   return acceptor;
 }
 
-/// The datagram socket of the siblings, shared the same way.
-inline asio::ip::udp::socket shared_datagrams(asio::io_context& io, const asio::ip::udp::endpoint& at) {
+/// Returns a datagram socket for the siblings at `address`, shared by bind_shared().
+inline asio::ip::udp::socket shared_datagrams(asio::io_context& io, const asio::ip::udp::endpoint& address) {
   asio::ip::udp::socket socket(io);
-  bind_shared(socket, at);
+  bind_shared(socket, address);
   return socket;
 }
 
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -1,4 +1,4 @@
-// Log lines on standard error, with a level filter. A line that is filtered out costs one comparison.
+// Writes log lines with a level to standard error. A line below the current level costs one comparison.
 #pragma once
 
 #include <chrono>
@@ -8,14 +8,16 @@
 
 namespace amberknot::net::log {
 
+/// Levels from the most to the least severe.
 enum class Level { kError, kWarn, kInfo, kDebug };
 
+/// The current level of the process; lines above it are not written. Not synchronised.
 inline Level& level() {
-  static Level now = Level::kInfo;
-  return now;
+  static Level current = Level::kInfo;
+  return current;
 }
 
-/// Of `error`, `warn`, `info` and `debug`; anything else leaves the level as it is.
+/// Sets the level: `error`, `warn`, `info` or `debug`. Any other name leaves it unchanged.
 inline void set_level(std::string_view name) {
   if (name == "error") level() = Level::kError;
   if (name == "warn") level() = Level::kWarn;
@@ -23,44 +25,47 @@
   if (name == "debug") level() = Level::kDebug;
 }
 
+/// Writes a line that consists of the level and all parts, if its level is enabled.
 template <typename... Parts>
-void line(Level at, const Parts&... parts) {
+void line(Level line_level, const Parts&... parts) {
   static constexpr const char* kNames[] = {"error ", "warn ", "info ", "debug "};
-  if (at > level()) return;
-  std::clog << kNames[static_cast<int>(at)];
+  if (line_level > level()) return;
+  std::clog << kNames[static_cast<int>(line_level)];
   (std::clog << ... << parts) << std::endl;
 }
 
-/// For lines that an outsider can cause at will: so many a second pass, and the next one tells how many did
-/// not. Written one by one they would take the time of all others.
+/// Limits log lines that a peer can trigger at will to a few per second, so that writing them does not delay
+/// other work. The first line of a later second is preceded by the number of suppressed ones.
 class RateLimiter {
  public:
+  /// Whether a line may be written now. Writes the number of suppressed lines when a new second begins.
   bool pass() {
     const auto now = std::chrono::steady_clock::now();
-    if (now - since_ >= std::chrono::seconds{1}) {
-      if (held_back_ > 0) line(Level::kWarn, held_back_, " more lines like the next were held back");
-      since_ = now;
-      passed_ = held_back_ = 0;
+    if (now - second_start_ >= std::chrono::seconds{1}) {
+      if (suppressed_ > 0)
+        line(Level::kWarn, suppressed_, " similar log lines were suppressed before the next one");
+      second_start_ = now;
+      passed_ = suppressed_ = 0;
     }
-    if (passed_ < kMax) return ++passed_ > 0;
-    ++held_back_;
+    if (passed_ < kMaxLinesPerSecond) return ++passed_ > 0;
+    ++suppressed_;
     return false;
   }
 
  private:
-  static constexpr std::uint32_t kMax = 5;
-  std::chrono::steady_clock::time_point since_{};
+  static constexpr std::uint32_t kMaxLinesPerSecond = 5;  // lines per second
+  std::chrono::steady_clock::time_point second_start_{};
   std::uint32_t passed_ = 0;
-  std::uint64_t held_back_ = 0;
+  std::uint64_t suppressed_ = 0;
 };
 
 template <typename... Parts>
-void warn(RateLimiter& few, const Parts&... parts) {
-  if (few.pass()) line(Level::kWarn, parts...);
+void warn(RateLimiter& limiter, const Parts&... parts) {
+  if (limiter.pass()) line(Level::kWarn, parts...);
 }
 template <typename... Parts>
-void info(RateLimiter& few, const Parts&... parts) {
-  if (Level::kInfo <= level() && few.pass()) line(Level::kInfo, parts...);
+void info(RateLimiter& limiter, const Parts&... parts) {
+  if (Level::kInfo <= level() && limiter.pass()) line(Level::kInfo, parts...);
 }
 
 template <typename... Parts>
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,4 +1,5 @@
-// The one thread's loop: Asio's context, the clocks, the wheel's ticking and the bytes that wait to leave.
+// The event loop of the single thread: the Asio context, the clocks, the timer wheel and the totals of queued
+// output.
 #pragma once
 
 #include <asio.hpp>
@@ -12,47 +13,50 @@
 
 class TcpConnection;
 
-/// What waits to be written, on all connections together.
+/// Output queued on all connections together.
 struct Outgoing {
-  std::size_t bytes = 0;
-  std::size_t most = 4 * 1024 * 1024;
-  std::size_t max_on_one = 256 * 1024;
-  std::unordered_set<TcpConnection*> blocked;  ///< those whose other side does not read
+  std::size_t bytes = 0;                       ///< queued now
+  std::size_t most = 4 * 1024 * 1024;          ///< limit in bytes for all connections together
+  std::size_t max_on_one = 256 * 1024;         ///< limit in bytes for one connection
+  std::unordered_set<TcpConnection*> blocked;  ///< connections whose peer does not read
 };
 
+/// Owns the event loop. All members are used on its thread only.
 class Loop {
  public:
-  Loop() : wheel(now()), ticker_(io) { tick(); }
+  Loop() : wheel(now()), tick_timer_(io) { schedule_tick(); }
 
-  /// Monotonic: for timers and the module.
+  /// Monotonic clock, for timers and the decision module.
   static Instant now() {
     return Instant{std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch())};
   }
-  /// The clock that the outside speaks of.
+  /// Wall clock in microseconds since the Unix epoch, for times exchanged with other processes.
   static std::int64_t unix_us() {
     return std::chrono::duration_cast<std::chrono::microseconds>(
                std::chrono::system_clock::now().time_since_epoch())
         .count();
   }
+  /// The same in milliseconds.
   static std::int64_t unix_ms() { return unix_us() / 1000; }
-  core::TimerWheel::Handle after(Duration wait, std::function<void()> what) {
-    return wheel.at(now() + wait, std::move(what));
+  /// Runs a handler on the loop after a delay. The result cancels the timer in `wheel`.
+  core::TimerWheel::Handle after(Duration delay, std::function<void()> handler) {
+    return wheel.at(now() + delay, std::move(handler));
   }
 
-  Outgoing outgoing;  ///< outlives every stream that a handler of `io` may hold
+  Outgoing outgoing;  ///< declared first, so that it outlives every connection that a handler of `io` owns
   asio::io_context io{1};
   core::TimerWheel wheel;
 
  private:
-  void tick() {
-    ticker_.expires_after(core::TimerWheel::kTick);
-    ticker_.async_wait([this](const asio::error_code& error) {
+  void schedule_tick() {
+    tick_timer_.expires_after(core::TimerWheel::kTick);
+    tick_timer_.async_wait([this](const asio::error_code& error) {
       if (error) return;
       wheel.advance(now());
-      tick();
+      schedule_tick();
     });
   }
-  asio::steady_timer ticker_;
+  asio::steady_timer tick_timer_;
 };
 
 }  // namespace amberknot::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -13,63 +13,63 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kFirstBuffer = 4096;
-constexpr std::size_t kMaxBuffer = kMaxMessage + 1024;
-// Bytes behind what was read, for parsers that look ahead a little (RapidJSON's check of UTF-8).
-constexpr std::size_t kPad = 4;
-// After a failed write what has come is read on for so long.
-constexpr Duration kReadOn = milliseconds{20};
-// A finished connection whose other side does not close is closed after this.
-constexpr Duration kLinger = milliseconds{1000};
+constexpr std::size_t kInitialBufferSize = 4096;
+constexpr std::size_t kMaxBufferSize = kMaxMessage + 1024;
+// Bytes kept free after the input, for parsers that read ahead (the UTF-8 check of RapidJSON).
+constexpr std::size_t kLookaheadPadding = 4;
+// How long input is still read after a failed write.
+constexpr Duration kReadAfterWriteErrorTime = milliseconds{20};
+// A finished connection is closed after this time if the peer does not close it.
+constexpr Duration kLingerTimeout = milliseconds{1000};
 
 }  // namespace
 
-const char* name(CloseReason why) {
-  static constexpr const char* kNames[] = {"ended", "reset", "refused", "never up", "overrun"};
-  return kNames[static_cast<int>(why)];
+const char* name(CloseReason reason) {
+  static constexpr const char* kNames[] = {"ended", "reset", "refused", "not connected in time", "overrun"};
+  return kNames[static_cast<int>(reason)];
 }
 
 void TcpConnection::adopt(asio::ip::tcp::socket socket) {
   socket_ = std::move(socket);
   asio::error_code ignored;
   remote_ = socket_.remote_endpoint(ignored);
-  begin();
+  start();
 }
 
-void TcpConnection::connect(const asio::ip::tcp::endpoint& to, Duration limit, Duration late) {
+void TcpConnection::connect(const asio::ip::tcp::endpoint& to, Duration timeout, Duration late_window) {
   remote_ = to;
-  limit_ = loop_.after(limit, [self = shared_from_this(), late] {
-    self->limit_ = 0;
-    if (late <= Duration::zero()) {
+  timer_ = loop_.after(timeout, [self = shared_from_this(), late_window] {
+    self->timer_ = 0;
+    if (late_window <= Duration::zero()) {
       self->fail(CloseReason::kNeverUp);
       return;
     }
-    self->limit_ = self->loop_.after(late, [self] {
-      self->limit_ = 0;
+    self->timer_ = self->loop_.after(late_window, [self] {
+      self->timer_ = 0;
       self->fail(CloseReason::kNeverUp);
     });
     self->owner_->on_connect_timeout(*self);
   });
   socket_.async_connect(to, [self = shared_from_this()](const asio::error_code& error) {
     if (self->is_closed()) return;
-    self->loop_.wheel.cancel(std::exchange(self->limit_, 0));
+    self->loop_.wheel.cancel(std::exchange(self->timer_, 0));
     if (error) {
       self->fail(error == asio::error::connection_refused ? CloseReason::kRefused
                  : error == asio::error::connection_reset ? CloseReason::kReset
                                                           : CloseReason::kNeverUp);
       return;
     }
-    self->begin();
+    self->start();
   });
 }
 
-void TcpConnection::begin() {
+void TcpConnection::start() {
   asio::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
-  open_ = true;
+  is_open_ = true;
   used_at_ = Loop::now();
-  in_.resize(kFirstBuffer + kPad);
+  input_.resize(kInitialBufferSize + kLookaheadPadding);
   const auto self = shared_from_this();
   owner_->on_open(*this);
   if (is_closed()) return;
@@ -77,20 +77,20 @@
   if (!is_closed()) read();
 }
 
-// Waited for and then read in one step: what has come is either in the kernel, where has_unread() sees it, or
-// with the owner. An asynchronous read would take it at once and deliver it later, and a close in between
-// would lose it unseen.
+// Waits until the socket is readable and reads in a separate step. Received bytes are then either in the
+// kernel, where has_unread() sees them, or with the owner. An asynchronous read would take them out of the
+// kernel before it delivers them, and a close in between would lose them.
 void TcpConnection::read() {
-  reading_ = true;
+  is_reading_ = true;
   socket_.async_wait(asio::ip::tcp::socket::wait_read,
                      [self = shared_from_this()](const asio::error_code& failed) {
-                       self->reading_ = false;
+                       self->is_reading_ = false;
                        if (self->is_closed()) {
-                         self->drop_input();
+                         self->discard_input();
                          return;
                        }
                        if (failed) {
-                         self->fail(reason(failed));
+                         self->fail(close_reason_of(failed));
                        } else {
                          self->read_now();
                        }
@@ -99,108 +99,110 @@
 
 void TcpConnection::read_now() {
   asio::error_code error;
-  const std::size_t got =
-      socket_.read_some(asio::buffer(in_.data() + filled_, in_.size() - kPad - filled_), error);
+  const std::size_t bytes_read = socket_.read_some(
+      asio::buffer(input_.data() + input_size_, input_.size() - kLookaheadPadding - input_size_), error);
   if (error == asio::error::would_block || error == asio::error::try_again) {
     read();
     return;
   }
   if (error) {
-    fail(reason(error));
+    fail(close_reason_of(error));
     return;
   }
   used_at_ = Loop::now();
-  filled_ += got;
+  input_size_ += bytes_read;
   deliver();
 }
 
 void TcpConnection::deliver() {
-  yielded_ = false;
-  const std::size_t taken = owner_->on_bytes(*this, std::span(in_.data(), filled_));
+  has_yielded_ = false;
+  const std::size_t taken = owner_->on_bytes(*this, std::span(input_.data(), input_size_));
   if (is_closed()) {
-    drop_input();
+    discard_input();
     return;
   }
-  std::move(in_.begin() + static_cast<std::ptrdiff_t>(taken),
-            in_.begin() + static_cast<std::ptrdiff_t>(filled_), in_.begin());
-  filled_ -= taken;
-  if (yielded_) {
+  std::move(input_.begin() + static_cast<std::ptrdiff_t>(taken),
+            input_.begin() + static_cast<std::ptrdiff_t>(input_size_), input_.begin());
+  input_size_ -= taken;
+  if (has_yielded_) {
     asio::post(loop_.io, [self = shared_from_this()] {
       if (!self->is_closed()) self->deliver();
     });
     return;
   }
-  if (filled_ + kPad == in_.size()) {
-    // A long message: most connections never see one, and their buffers stay small.
-    if (in_.size() >= kMaxBuffer + kPad) {
+  if (input_size_ + kLookaheadPadding == input_.size()) {
+    // The buffer grows only for long messages, so that most connections need little memory.
+    if (input_.size() >= kMaxBufferSize + kLookaheadPadding) {
       fail(CloseReason::kOverrun);
       return;
     }
-    in_.resize(std::min(2 * in_.size(), kMaxBuffer + kPad));
+    input_.resize(std::min(2 * input_.size(), kMaxBufferSize + kLookaheadPadding));
   }
   read();
 }
 
-// For a stream that is finished: what comes is read and dropped until the other side closes too.
-void TcpConnection::drop_input() {
-  constexpr std::size_t kMaxDropped = 256 * 1024;
-  if (!lingering_ || reading_) return;
-  reading_ = true;
-  socket_.async_read_some(asio::buffer(in_),
-                          [self = shared_from_this()](const asio::error_code& error, std::size_t got) {
-                            self->reading_ = false;
-                            if (!self->lingering_) return;
-                            self->dropped_ += got;
-                            if (error || self->dropped_ > kMaxDropped) {
+// After finish(): reads and discards input until the peer closes the connection too.
+void TcpConnection::discard_input() {
+  constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
+  if (!is_lingering_ || is_reading_) return;
+  is_reading_ = true;
+  socket_.async_read_some(asio::buffer(input_),
+                          [self = shared_from_this()](const asio::error_code& error, std::size_t bytes_read) {
+                            self->is_reading_ = false;
+                            if (!self->is_lingering_) return;
+                            self->dropped_bytes_ += bytes_read;
+                            if (error || self->dropped_bytes_ > kMaxDiscardedBytes) {
                               self->close();
                             } else {
-                              self->drop_input();
+                              self->discard_input();
                             }
                           });
 }
 
-void TcpConnection::count_out(std::size_t bytes) {
-  queued_ -= bytes;
+void TcpConnection::subtract_queued(std::size_t bytes) {
+  queued_bytes_ -= bytes;
   loop_.outgoing.bytes -= bytes;
 }
 
 void TcpConnection::send(std::string head, std::string body, Tag tag) {
-  if (is_closed() || output_closed_) return;
-  queued_ += head.size() + body.size();
+  if (is_closed() || is_output_closed_) return;
+  queued_bytes_ += head.size() + body.size();
   loop_.outgoing.bytes += head.size() + body.size();
-  out_.push_back({std::move(head), std::move(body), tag});
+  output_.push_back({std::move(head), std::move(body), tag});
   flush();
-  // Another side that does not read: what waits for it must not grow without bound, nor what waits for all.
+  // The output for a peer that does not read must not grow without limit, nor must the output of all
+  // connections together.
   auto& all = loop_.outgoing;
-  TcpConnection* worst = queued_ > all.max_on_one ? this : nullptr;
-  if (worst == nullptr && all.bytes > all.most) {
-    for (auto* one : all.blocked) {
-      if (worst == nullptr || one->queued_ > worst->queued_) worst = one;
+  TcpConnection* largest = queued_bytes_ > all.max_on_one ? this : nullptr;
+  if (largest == nullptr && all.bytes > all.most) {
+    for (auto* connection : all.blocked) {
+      if (largest == nullptr || connection->queued_bytes_ > largest->queued_bytes_) largest = connection;
     }
   }
-  if (worst == nullptr || worst->is_closed()) return;
-  asio::post(loop_.io, [self = worst->shared_from_this()] { self->fail(CloseReason::kOverrun); });
+  if (largest == nullptr || largest->is_closed()) return;
+  asio::post(loop_.io, [self = largest->shared_from_this()] { self->fail(CloseReason::kOverrun); });
 }
 
 bool TcpConnection::take_back(Tag tag) {
-  for (auto at = out_.begin(); at != out_.end(); ++at) {
-    if (at->tag != tag || (at == out_.begin() && begun_ > 0)) continue;
-    count_out(at->size());
-    out_.erase(at);
+  for (auto at = output_.begin(); at != output_.end(); ++at) {
+    if (at->tag != tag || (at == output_.begin() && front_written_ > 0)) continue;
+    subtract_queued(at->size());
+    output_.erase(at);
     return true;
   }
   return false;
 }
 
 bool TcpConnection::is_queued(Tag tag) const {
-  for (auto at = out_.begin(); at != out_.end(); ++at) {
-    if (at->tag == tag) return at != out_.begin() || begun_ == 0;
+  for (auto at = output_.begin(); at != output_.end(); ++at) {
+    if (at->tag == tag) return at != output_.begin() || front_written_ == 0;
   }
   return false;
 }
 
 bool TcpConnection::is_unsent(Tag tag) const {
-  return std::any_of(out_.begin(), out_.end(), [tag](const Message& one) { return one.tag == tag; });
+  return std::any_of(output_.begin(), output_.end(),
+                     [tag](const Message& message) { return message.tag == tag; });
 }
 
 bool TcpConnection::has_unread() const {
@@ -209,130 +211,133 @@
 }
 
 bool TcpConnection::has_ended() {
-  if (!open_) return false;
+  if (!is_open_) return false;
   char byte = 0;
   return ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
 std::vector<TcpConnection::Message> TcpConnection::take_unsent() {
   std::vector<Message> unsent;
-  const std::size_t first = begun_ > 0 ? 1 : 0;
-  while (out_.size() > first) {
-    count_out(out_[first].size());
-    unsent.push_back(std::move(out_[first]));
-    out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(first));
+  const std::size_t first = front_written_ > 0 ? 1 : 0;
+  while (output_.size() > first) {
+    subtract_queued(output_[first].size());
+    unsent.push_back(std::move(output_[first]));
+    output_.erase(output_.begin() + static_cast<std::ptrdiff_t>(first));
   }
   return unsent;
 }
 
-// Gathered: as many heads and bodies in one write as the system takes. The write is tried at once and never
-// left to Asio, which would hold on to the buffers while the socket is blocked.
+// Writes as many heads and bodies in one call as the limit on buffers allows. The write is tried at once
+// instead of being left to Asio, which would hold the buffers while the socket is blocked, so that they could
+// not be withdrawn.
 void TcpConnection::flush() {
-  while (open_ && !waiting_to_write_ && !output_closed_ && !out_.empty()) {
-    constexpr std::size_t kMaxPieces = 32;
-    std::array<asio::const_buffer, kMaxPieces> pieces;
+  while (is_open_ && !is_waiting_to_write_ && !is_output_closed_ && !output_.empty()) {
+    constexpr std::size_t kMaxWriteBuffers = 32;
+    std::array<asio::const_buffer, kMaxWriteBuffers> buffers;
     std::size_t count = 0;
-    std::size_t skip = begun_;
+    std::size_t skip = front_written_;
     const auto add = [&](const std::string& text) {
-      const std::size_t gone = std::min(skip, text.size());
-      skip -= gone;
-      if (text.size() > gone && count < kMaxPieces) {
-        pieces[count++] = asio::buffer(text.data() + gone, text.size() - gone);
+      const std::size_t skipped = std::min(skip, text.size());
+      skip -= skipped;
+      if (text.size() > skipped && count < kMaxWriteBuffers) {
+        buffers[count++] = asio::buffer(text.data() + skipped, text.size() - skipped);
       }
     };
-    for (const auto& message : out_) {
-      if (count + 2 > kMaxPieces) break;
+    for (const auto& message : output_) {
+      if (count + 2 > kMaxWriteBuffers) break;
       add(message.head);
       add(message.body);
     }
     asio::error_code error;
     std::size_t written =
-        socket_.write_some(std::span<const asio::const_buffer>(pieces.data(), count), error);
+        socket_.write_some(std::span<const asio::const_buffer>(buffers.data(), count), error);
     if (error == asio::error::would_block || error == asio::error::try_again) {
-      waiting_to_write_ = true;
+      is_waiting_to_write_ = true;
       loop_.outgoing.blocked.insert(this);
       socket_.async_wait(asio::ip::tcp::socket::wait_write,
                          [self = shared_from_this()](const asio::error_code& failed) {
-                           self->waiting_to_write_ = false;
+                           self->is_waiting_to_write_ = false;
                            self->loop_.outgoing.blocked.erase(self.get());
                            if (failed) return;
                            self->flush();
-                           if (self->is_closed() || self->output_closed_) return;
-                           if (self->out_.empty()) self->owner_->on_drained(*self);
+                           if (self->is_closed() || self->is_output_closed_) return;
+                           if (self->output_.empty()) self->owner_->on_drained(*self);
                          });
       return;
     }
     if (error) {
-      stop_writing(reason(error));
+      stop_writing(close_reason_of(error));
       return;
     }
     used_at_ = Loop::now();
-    count_out(written);
-    written += begun_;
-    while (!out_.empty() && written >= out_.front().size()) {
-      written -= out_.front().size();
-      out_.pop_front();
+    subtract_queued(written);
+    written += front_written_;
+    while (!output_.empty() && written >= output_.front().size()) {
+      written -= output_.front().size();
+      output_.pop_front();
     }
-    begun_ = written;
+    front_written_ = written;
   }
-  if (lingering_ && out_.empty()) {
+  if (is_lingering_ && output_.empty()) {
     asio::error_code ignored;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
   }
 }
 
-// What cannot be written does not undo what has come: answers that wait to be read are read first, and the
-// end of the input tells the owner. It is told through the loop, never from inside its own call.
-void TcpConnection::stop_writing(CloseReason why) {
-  if (lingering_) {
+// A failed write does not invalidate input that has arrived: pending answers are read first, and the end of
+// the input reports the close to the owner. The timer reports it from the loop, never from inside a call of
+// the owner.
+void TcpConnection::stop_writing(CloseReason reason) {
+  if (is_lingering_) {
     close();
     return;
   }
-  if (std::exchange(output_closed_, true)) return;
-  limit_ = loop_.after(kReadOn, [self = shared_from_this(), why] {
-    self->limit_ = 0;
-    self->fail(why);
+  if (std::exchange(is_output_closed_, true)) return;
+  timer_ = loop_.after(kReadAfterWriteErrorTime, [self = shared_from_this(), reason] {
+    self->timer_ = 0;
+    self->fail(reason);
   });
 }
 
-void TcpConnection::fail(CloseReason why) {
+void TcpConnection::fail(CloseReason reason) {
   if (is_closed()) return;
   auto* owner = owner_;
   const auto self = shared_from_this();
-  shut();
-  // What never left is still queued: the owner may take it back and send it another way.
-  owner->on_closed(*this, why);
-  drop_queue();
+  close_socket();
+  // Unsent messages are still queued here, so that the owner can take them and send them on another
+  // connection.
+  owner->on_closed(*this, reason);
+  discard_output();
 }
 
 void TcpConnection::close_output() {
-  if (!open_) return;
-  output_closed_ = true;
-  drop_queue();
+  if (!is_open_) return;
+  is_output_closed_ = true;
+  discard_output();
   loop_.outgoing.blocked.erase(this);
   asio::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
 }
 
 void TcpConnection::close() {
-  shut();
-  drop_queue();
+  close_socket();
+  discard_output();
 }
 
-void TcpConnection::shut() {
+void TcpConnection::close_socket() {
   owner_ = nullptr;
-  open_ = false;
-  lingering_ = false;
+  is_open_ = false;
+  is_lingering_ = false;
   loop_.outgoing.blocked.erase(this);
-  loop_.wheel.cancel(std::exchange(limit_, 0));
+  loop_.wheel.cancel(std::exchange(timer_, 0));
   asio::error_code ignored;
   socket_.close(ignored);
 }
 
-void TcpConnection::drop_queue() {
-  count_out(queued_);
-  out_.clear();
-  begun_ = 0;
+void TcpConnection::discard_output() {
+  subtract_queued(queued_bytes_);
+  output_.clear();
+  front_written_ = 0;
 }
 
 void TcpConnection::reset() {
@@ -343,27 +348,28 @@
 
 void TcpConnection::finish() {
   if (is_closed()) return;
-  if (!open_ || output_closed_) {
+  if (!is_open_ || is_output_closed_) {
     close();
     return;
   }
   owner_ = nullptr;
-  lingering_ = true;
-  limit_ = loop_.after(kLinger, [self = shared_from_this()] {
-    self->limit_ = 0;
+  is_lingering_ = true;
+  timer_ = loop_.after(kLingerTimeout, [self = shared_from_this()] {
+    self->timer_ = 0;
     self->close();
   });
   flush();
-  // A read that is out goes on to drop; where none is, dropping begins once the owner's call is over.
-  asio::post(loop_.io, [self = shared_from_this()] { self->drop_input(); });
+  // A pending read continues by discarding input. If there is none, discarding starts after the current call
+  // of the owner has returned.
+  asio::post(loop_.io, [self = shared_from_this()] { self->discard_input(); });
 }
 
 TcpConnection::~TcpConnection() {
-  loop_.outgoing.bytes -= queued_;
+  loop_.outgoing.bytes -= queued_bytes_;
   loop_.outgoing.blocked.erase(this);
 }
 
-CloseReason TcpConnection::reason(const asio::error_code& error) {
+CloseReason TcpConnection::close_reason_of(const asio::error_code& error) {
   return error == asio::error::eof ? CloseReason::kEnded : CloseReason::kReset;
 }
 
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,5 +1,6 @@
-// One TCP connection: bytes in, whole messages out. What is queued stays ours until the kernel takes it, so
-// that a set-up can be taken back from a connecting or blocked socket.
+// A TCP connection that delivers input as bytes and sends output as whole messages. Output stays queued in
+// this process until the kernel accepts it, so that a set-up can be withdrawn from a connecting or blocked
+// socket.
 #pragma once
 
 #include <asio.hpp>
@@ -15,110 +16,128 @@
 
 namespace amberknot::net {
 
+/// Why a connection was closed: `kEnded`: by the peer; `kReset`: reset or another socket error; `kRefused`:
+/// connect refused; `kNeverUp`: not open in time, or the connect failed otherwise; `kOverrun`: too much
+/// output queued, or a message too long.
 enum class CloseReason { kEnded, kReset, kRefused, kNeverUp, kOverrun };
-const char* name(CloseReason why);
+/// Returns the text for log lines.
+const char* name(CloseReason reason);
 
+/// Always held by a shared_ptr; used on the thread of the event loop only.
 class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
  public:
+  /// Receives the events of a connection. It must outlive the connection, or close it first.
   class Owner {
    public:
     virtual ~Owner() = default;
+    /// The connection is open.
     virtual void on_open(TcpConnection& /*stream*/) {}
-    /// Returns how many bytes it took; the rest comes again with what follows. A message that does not fit
-    /// is the owner's to refuse.
+    /// Returns the number of bytes consumed; the rest is passed again together with later input. The owner
+    /// must reject a message that does not fit into the buffer.
     virtual std::size_t on_bytes(TcpConnection& stream, std::span<char> bytes) = 0;
-    /// The connection is not up in its time, and may still come up: on_open or on_closed follows.
+    /// The connect timeout has expired, but the connect may still complete: on_open or on_closed follows.
     virtual void on_connect_timeout(TcpConnection& /*stream*/) {}
-    /// What was blocked has left, and nothing is queued. Not called from inside send().
+    /// The socket was blocked, and all queued output has been written since. Not called from inside send().
     virtual void on_drained(TcpConnection& /*stream*/) {}
-    /// The connection is gone by the other side's doing. Not called after close().
-    virtual void on_closed(TcpConnection& stream, CloseReason why) = 0;
+    /// The connection was closed by the peer or by an error. Not called after close().
+    virtual void on_closed(TcpConnection& stream, CloseReason reason) = 0;
   };
-  /// Marks what is queued, to find it again.
+  /// Identifies a queued message; 0 for messages that need no tag.
   using Tag = std::uint64_t;
 
   TcpConnection(Loop& loop, Owner& owner) : loop_(loop), owner_(&owner), socket_(loop.io) {}
   ~TcpConnection();
 
-  /// For an accepted connection.
+  /// Takes over an accepted socket.
   void adopt(asio::ip::tcp::socket socket);
-  /// `late`: how long after the limit it may still come up; the owner hears of the limit by on_late then.
-  void connect(const asio::ip::tcp::endpoint& to, Duration limit, Duration late = Duration::zero());
+  /// Connects to an address. If the connect takes longer than `timeout`, it fails, unless `late_window` is
+  /// positive: then the owner gets on_connect_timeout, and the connect may complete for that much longer.
+  void connect(const asio::ip::tcp::endpoint& to, Duration timeout, Duration late_window = Duration::zero());
+  /// Queues a message and writes as much output as the socket accepts.
   void send(std::string head, std::string body = {}, Tag tag = 0);
-  /// True: the tagged message was queued with no byte written, and is queued no more.
+  /// Removes the tagged message from the queue if no byte of it was written. Returns whether it did.
   bool take_back(Tag tag);
-  /// Whether the tagged message is queued with no byte written.
+  /// Whether the tagged message is queued and no byte of it was written.
   [[nodiscard]] bool is_queued(Tag tag) const;
-  /// Whether any of the tagged message is still to be written.
+  /// Whether any byte of the tagged message is still queued.
   [[nodiscard]] bool is_unsent(Tag tag) const;
-  /// Whether bytes of the other side wait to be read: asked before a close that would drop them.
+  /// Whether received bytes have not been read yet. Asked before a close, which would discard them.
   [[nodiscard]] bool has_unread() const;
-  /// Whether the other side has closed and we have not read that yet.
+  /// Whether the peer has closed the connection and this has not been read yet.
   [[nodiscard]] bool has_ended();
+  /// A message in the output queue.
   struct Message {
     std::string head;
     std::string body;
     Tag tag = 0;
     [[nodiscard]] std::size_t size() const { return head.size() + body.size(); }
   };
-  /// All of which no byte was written.
+  /// Removes and returns all queued messages of which no byte was written.
   std::vector<Message> take_unsent();
+  /// Closes the socket and discards queued output. The owner is not notified.
   void close();
-  /// TCP half-close: what is queued is dropped, nothing more is sent and the other side hears the end. What
-  /// it says until it closes too still comes to the owner.
+  /// TCP half-close: discards queued output, sends nothing more and signals the end to the peer. Input is
+  /// still passed to the owner until the peer closes the connection too.
   void close_output();
-  /// Closes as if the other side had: the owner is told, and may take back what never left.
-  void fail(CloseReason why);
-  /// Closes with a reset, whatever is under way.
+  /// Closes as if the peer had done so: the owner gets on_closed, and may take unsent messages there.
+  void fail(CloseReason reason);
+  /// Closes with a TCP reset; queued output and input in transit are lost.
   void reset();
-  /// Closes once what is queued has left, and drops what still comes for a while: a close with unread input
-  /// is a reset, which may overtake the last message.
+  /// Closes after all queued output is written, and discards input that still arrives for a while: closing
+  /// with unread input sends a reset, which may overtake the last message.
   void finish();
-  /// Called from on_bytes: the rest of the buffer comes again by itself, after the others had their turn.
-  void yield() { yielded_ = true; }
+  /// Called from on_bytes: the unconsumed bytes are passed again after other connections had their turn.
+  void yield() { has_yielded_ = true; }
 
-  [[nodiscard]] bool is_lingering() const { return lingering_; }
-  [[nodiscard]] std::size_t queued() const { return queued_; }
-  [[nodiscard]] bool is_open() const { return open_ && !output_closed_; }
+  /// Whether finish() was called and the connection is not closed yet.
+  [[nodiscard]] bool is_lingering() const { return is_lingering_; }
+  /// Bytes of queued output.
+  [[nodiscard]] std::size_t queued() const { return queued_bytes_; }
+  /// Whether output can be sent now.
+  [[nodiscard]] bool is_open() const { return is_open_ && !is_output_closed_; }
+  /// Whether the owner gets no more events: after close(), fail() and finish().
   [[nodiscard]] bool is_closed() const { return owner_ == nullptr; }
   [[nodiscard]] const asio::ip::tcp::endpoint& remote() const { return remote_; }
+  /// When bytes were last read or written.
   [[nodiscard]] Instant used_at() const { return used_at_; }
 
  private:
-  void begin();
+  void start();
   void read();
   void read_now();
   void deliver();
-  void drop_input();
+  void discard_input();
   void flush();
-  void stop_writing(CloseReason why);
-  void count_out(std::size_t bytes);
-  void shut();
-  void drop_queue();
-  static CloseReason reason(const asio::error_code& error);
+  void stop_writing(CloseReason reason);
+  void subtract_queued(std::size_t bytes);
+  void close_socket();
+  void discard_output();
+  static CloseReason close_reason_of(const asio::error_code& error);
 
   Loop& loop_;
   Owner* owner_;
   asio::ip::tcp::socket socket_;
   asio::ip::tcp::endpoint remote_;
-  bool open_ = false;
-  bool waiting_to_write_ = false;
-  bool output_closed_ = false;  ///< a write failed, or close_output()
-  bool reading_ = false;
-  bool yielded_ = false;
-  bool lingering_ = false;
-  std::size_t dropped_ = 0;
-  std::vector<char> in_;
-  std::size_t filled_ = 0;
-  std::deque<Message> out_;
-  std::size_t queued_ = 0;
-  std::size_t begun_ = 0;  ///< bytes of the first message that are written
-  core::TimerWheel::Handle limit_ = 0;
+  bool is_open_ = false;
+  bool is_waiting_to_write_ = false;
+  bool is_output_closed_ = false;  ///< after a failed write or close_output()
+  bool is_reading_ = false;
+  bool has_yielded_ = false;
+  bool is_lingering_ = false;
+  std::size_t dropped_bytes_ = 0;
+  std::vector<char> input_;
+  std::size_t input_size_ = 0;
+  std::deque<Message> output_;
+  std::size_t queued_bytes_ = 0;
+  std::size_t front_written_ = 0;  ///< bytes of the first queued message that are written
+  core::TimerWheel::Handle timer_ = 0;
   Instant used_at_{};
 };
 
-/// host:port, numbers only: there is no DNS.
+/// Parses host:port, where the host is an IP address: names are not resolved. Returns nullopt for anything
+/// else.
 std::optional<asio::ip::tcp::endpoint> read_endpoint(std::string_view text);
+/// Returns an endpoint as host:port.
 std::string text_of(const asio::ip::tcp::endpoint& endpoint);
 
 }  // namespace amberknot::net
