--- a/tests/bad_clients_test.cpp
+++ b/tests/bad_clients_test.cpp
@@ -1,12 +1,13 @@
-// Callers that say nothing, nonsense or too much: each gets a refusal or a close, and the others their turn.
+// Tests with callers that send nothing, invalid data or too much: each gets a rejection or a close, and other
+// callers are still served.
 #include "net_bench.hpp"
 
 using namespace amberknot;
 using namespace amberknot::tests;
 
 namespace {
-const std::string kA = "00000000000000a1";
-const std::string kB = "00000000000000b2";
+const std::string kCallA = "00000000000000a1";
+const std::string kCallB = "00000000000000b2";
 
 std::string probe(const std::string& sid) {
   return "{\"msg\":\"probe\",\"sid\":\"" + sid + "\",\"attrs\":{},\"code\":0}\n";
@@ -16,120 +17,124 @@
 }
 }  // namespace
 
-// Guards against connections that hold a descriptor and say nothing: a close is owed within 3 s.
-TEST_CASE("who says nothing of use is closed within 3 s, who is served is not") {
+// Guards against connections that hold a descriptor and send nothing; the router must close them within 3 s.
+TEST_CASE("a connection without a useful message is closed within 3 s, one with a call is not") {
   Bench bench;
   bench.list();
-  bench.standing(kA);
-  const Instant from = Loop::now();
+  bench.standing(kCallA);
+  const Instant connected_at = Loop::now();
   const auto silent = bench.connect(bench.router->callers_at());
-  const auto half = bench.connect(bench.router->callers_at());
-  half->stream->send("{\"msg\":\"open\",\"sid\":");
-  const auto idle_talk = bench.connect(bench.router->callers_at());
-  idle_talk->stream->send("{\"msg\":\"close\",\"sid\":\"" + kB + "\",\"attrs\":{},\"code\":16}\n");
-  bench.until([&] { return idle_talk->has("\"closed\",\"sid\":\"" + kB); });  // an unknown id is answered too
-  bench.until([&] { return silent->closed && half->closed && idle_talk->closed; });
-  CHECK(Loop::now() - from < milliseconds{3000});
+  const auto partial_line = bench.connect(bench.router->callers_at());
+  partial_line->stream->send("{\"msg\":\"open\",\"sid\":");
+  const auto useless = bench.connect(bench.router->callers_at());
+  useless->stream->send("{\"msg\":\"close\",\"sid\":\"" + kCallB + "\",\"attrs\":{},\"code\":16}\n");
+  bench.until([&] {
+    return useless->has("\"closed\",\"sid\":\"" + kCallB);
+  });  // a release of an unknown id is confirmed too
+  bench.until([&] { return silent->closed && partial_line->closed && useless->closed; });
+  CHECK(Loop::now() - connected_at < milliseconds{3000});
   CHECK(bench.router->counters().idle_closed == 3);
-  // A usual caller may sit idle after its answer.
+  // A caller with an established call may be idle.
   bench.settle();
   CHECK_FALSE(bench.caller->closed);
 }
 
-// Guards against newcomers that find no room because of connections that nobody uses.
-TEST_CASE("at the bound on connections the silent ones give way, not the newcomers") {
+// Guards against new callers that are rejected because idle connections hold all places.
+TEST_CASE("at the connection limit, silent connections are closed and new ones accepted") {
   auto config = bench_config();
   config.sockets = 32;
   Bench bench({}, config);
   bench.list();
-  bench.standing(kA);
-  bench.open(kB);  // unanswered: its connection stays
-  bench.invited(kB);
+  bench.standing(kCallA);
+  bench.open(kCallB);  // unanswered, so its connection is kept
+  bench.invited(kCallB);
   std::vector<std::unique_ptr<End>> silent;
   for (int i = 0; i < 30; ++i) {
     silent.push_back(bench.connect(bench.router->callers_at()));
     bench.until([&] { return silent.back()->stream->is_open(); });
   }
-  const auto usual = bench.connect(bench.router->callers_at());
-  usual->stream->send(probe(kA));
-  bench.until([&] { return usual->has("\"probed\""); });
+  const auto new_caller = bench.connect(bench.router->callers_at());
+  new_caller->stream->send(probe(kCallA));
+  bench.until([&] { return new_caller->has("\"probed\""); });
   CHECK(bench.router->callers() <= 16);
   CHECK(bench.router->counters().evicted >= 15);
   bench.settle();
   CHECK_FALSE(bench.caller->closed);
 }
 
-// Guards against calls that end unheard: their callers wait for the release where the calls were opened.
-TEST_CASE("connections with calls that stand give way last, and releases go where calls were served") {
+// Guards against releases that callers do not receive: callers wait for them on the connections where they
+// opened the calls.
+TEST_CASE(
+    "connections with established calls are closed last, and releases go to connections that served calls") {
   auto config = bench_config();
   config.sockets = 32;
   Bench bench({}, config);
   bench.list();
-  auto& end = bench.standing(kA);
+  auto& end = bench.standing(kCallA);
   std::vector<std::unique_ptr<End>> idle;
-  SUBCASE("more idle connections than there is room for") {
+  SUBCASE("more idle connections than the limit allows") {
     for (int i = 0; i < 40; ++i) {
       idle.push_back(bench.connect(bench.router->callers_at()));
-      idle.back()->stream->send(probe(kB));
+      idle.back()->stream->send(probe(kCallB));
       bench.until([&] { return idle.back()->has("\"probed\""); });
     }
     bench.settle();
     CHECK_FALSE(bench.caller->closed);
   }
-  SUBCASE("its own connection is gone, and a silent one came later than one in use") {
+  SUBCASE("its own connection is closed, and a silent one is newer than one in use") {
     const auto used = bench.connect(bench.router->callers_at());
-    used->stream->send(probe(kB));
+    used->stream->send(probe(kCallB));
     bench.until([&] { return used->has("\"probed\""); });
     const auto silent = bench.connect(bench.router->callers_at());
     bench.until([&] { return bench.router->callers() == 3; });
     bench.caller->stream->close();
     bench.until([&] { return bench.router->callers() == 2; });
-    end.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
-    bench.until([&] { return used->has("\"close\",\"sid\":\"" + kA); });
+    end.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+    bench.until([&] { return used->has("\"close\",\"sid\":\"" + kCallA); });
     CHECK(silent->in.empty());
     return;
   }
-  end.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kA); });
+  end.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
 }
 
-// Guards against a reset that overtakes the refusal, as a close with unread input is one.
-TEST_CASE("a refusal arrives although its connection is closed for what follows") {
+// Guards against a reset that overtakes the rejection: closing a socket with unread input sends a reset.
+TEST_CASE("a rejection arrives although the connection is closed because of the next line") {
   Bench bench;
-  bench.say(bad_open(kA) + "nonsense\n" + std::string(100'000, 'x'));
+  bench.say(bad_open(kCallA) + "nonsense\n" + std::string(100'000, 'x'));
   bench.until([&] { return bench.caller->closed; });
   CHECK(bench.caller->why == net::CloseReason::kEnded);
   CHECK(bench.caller->count("\"code\":100") == 1);
 }
 
-TEST_CASE("a second set-up under the id of a live call is answered, and never served") {
+TEST_CASE("a second set-up with the id of a live call is rejected and never sent to a server") {
   Bench bench;
   bench.list();
-  bench.open(kA);
-  auto& end = bench.invited(kA);
-  SUBCASE("by the same connection: both end, once") {
-    bench.open(kA, 2000, "another");
+  bench.open(kCallA);
+  auto& end = bench.invited(kCallA);
+  SUBCASE("on the same connection: both end with one rejection") {
+    bench.open(kCallA, 2000, "another");
     bench.until([&] { return bench.caller->has("\"code\":100}"); });
     bench.until([&] { return end.has("CANCEL sip:"); });
-    bench.answer(end, kA);
+    bench.answer(end, kCallA);
     bench.until([&] { return end.has("BYE sip:"); });
     bench.settle();
-    CHECK(bench.caller->count(kA) == 1);
+    CHECK(bench.caller->count(kCallA) == 1);
   }
-  SUBCASE("by a stranger: the live call goes on") {
-    const auto stranger = bench.connect(bench.router->callers_at());
-    std::swap(bench.caller, const_cast<std::unique_ptr<End>&>(stranger));
-    bench.open(kA, 2000, "another");
-    std::swap(bench.caller, const_cast<std::unique_ptr<End>&>(stranger));
-    bench.until([&] { return stranger->has("\"code\":100}"); });
-    bench.answer(end, kA);
-    bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kA); });
+  SUBCASE("on another connection: the live call goes on") {
+    const auto other_caller = bench.connect(bench.router->callers_at());
+    std::swap(bench.caller, const_cast<std::unique_ptr<End>&>(other_caller));
+    bench.open(kCallA, 2000, "another");
+    std::swap(bench.caller, const_cast<std::unique_ptr<End>&>(other_caller));
+    bench.until([&] { return other_caller->has("\"code\":100}"); });
+    bench.answer(end, kCallA);
+    bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kCallA); });
     CHECK(bench.server.count(" INVITE\r\n") == 1);
   }
   CHECK(bench.router->counters().repeated_ids == 1);
 }
 
-TEST_CASE("figures out of range fail the call at once") {
+TEST_CASE("numbers out of range fail the call at once") {
   auto config = bench_config();
   config.settings.classes[0].pools = {PoolId{0}, PoolId{1}};
   config.names.widths = {1, 2};
@@ -160,7 +165,7 @@
   for (const auto& one : cases) {
     CAPTURE(one.left);
     CAPTURE(one.extras);
-    bench.say("{\"msg\":\"open\",\"sid\":\"" + kA + "\",\"attrs\":{\"class\":\"voice\",\"left\":\"" +
+    bench.say("{\"msg\":\"open\",\"sid\":\"" + kCallA + "\",\"attrs\":{\"class\":\"voice\",\"left\":\"" +
               one.left + "\",\"tenant\":\"acme\",\"key\":\"" + one.key + "\",\"extras\":\"" + one.extras +
               "\"},\"text\":\"desc\"}\n");
     ++count;
@@ -169,26 +174,27 @@
   CHECK(bench.server.count("INVITE") == 0);
 }
 
-// Guards against one caller's burst that keeps all others waiting.
-TEST_CASE("the lines of one connection are read a few at a time") {
+// Guards against a burst from one caller that delays all others.
+TEST_CASE("lines of one connection are read a few at a time") {
   Bench bench;
   const auto other = bench.connect(bench.router->callers_at());
   bench.settle();
   bench.until([&] { return other->stream->is_open(); });
   std::string burst;
-  for (int i = 0; i < 150; ++i) burst += bad_open(kA);
+  for (int i = 0; i < 150; ++i) burst += bad_open(kCallA);
   bench.say(burst);
-  other->stream->send(probe(kB));
+  other->stream->send(probe(kCallB));
   bench.until([&] { return other->has("\"probed\""); });
   CHECK(bench.router->counters().malformed < 150);
   bench.until([&] { return bench.caller->count("\"code\":100}") == 150; });
 }
 
-// Guards the memory: what is held for calls is bounded in total, and no connection may take all of it.
-TEST_CASE("set-ups past the memory for them are refused at once, with the time to stay away") {
+// Guards against exhausted memory: the bytes held for calls are limited in total, and no connection may use
+// all of them.
+TEST_CASE("set-ups beyond the memory limit are rejected at once, with a time to wait before a retry") {
   auto config = bench_config();
   config.memory_mb = 16;
-  Bench bench({}, config);  // no server is listed: every call is held
+  Bench bench({}, config);  // the endpoint list is empty, so every call is queued
   char sid[17];
   for (int i = 0; i < 80; ++i) {
     std::snprintf(sid, sizeof sid, "%016x", 0x1000 + i);
@@ -202,29 +208,30 @@
   bench.until([&] { return bench.caller->has("\"wait\":\"2000\"},\"code\":42}"); });
   bench.settle();
   CHECK(bench.router->table().unanswered() >= 30);
-  // Another one still finds room; many of them, each within its part, do not find more than there is.
+  // Another connection is still served, but many connections that are each within their own limit do not
+  // exceed the total.
   const auto& counters = bench.router->counters();
-  const auto had = counters.received;
+  const auto received_before = counters.received;
   std::vector<std::unique_ptr<End>> others;
   for (int i = 0; i < 5; ++i) {
     others.push_back(bench.connect(bench.router->callers_at()));
     std::swap(bench.caller, others.back());
     for (int k = 0; k < 30; ++k) {
-      const auto asked = counters.received + counters.rejected_for_capacity;
+      const auto handled_before = counters.received + counters.rejected_for_capacity;
       std::snprintf(sid, sizeof sid, "%016x", 0x10000 + 100 * i + k);
       bench.open(sid, 2500, std::string(15'000, 'x'));
-      bench.until([&] { return counters.received + counters.rejected_for_capacity == asked + 1; });
+      bench.until([&] { return counters.received + counters.rejected_for_capacity == handled_before + 1; });
     }
     std::swap(bench.caller, others.back());
-    if (i == 0) CHECK(counters.received == had + 30);
+    if (i == 0) CHECK(counters.received == received_before + 30);
   }
   CHECK(bench.router->table().unanswered() * 30'000 <= net::ResourceLimits::of(16, 1024).calls);
 }
 
-TEST_CASE("a caller that goes with many calls out gives up its own and no others") {
+TEST_CASE("a caller that disconnects abandons its unanswered calls and no others") {
   Bench bench;
   bench.list();
-  bench.standing(kA);
+  bench.standing(kCallA);
   const auto other = bench.connect(bench.router->callers_at());
   std::swap(bench.caller, const_cast<std::unique_ptr<End>&>(other));
   char sid[17];
--- a/tests/net_bench.hpp
+++ b/tests/net_bench.hpp
@@ -1,5 +1,5 @@
-// The shared helper of the tests with real sockets: a router on loopback, and the other sides of its wires.
-// Everything runs in one loop; a test says what it waits for, never how long.
+// Fixture for the tests with real sockets: a router on loopback and stand-ins for its peers. Everything runs
+// in one event loop; a test states the condition it waits for, not a time.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
 using net::Loop;
 using std::chrono::milliseconds;
 
-/// One end of a connection under the test's hand: keeps what came, sends what it is told.
+/// One end of a connection, controlled by the test: keeps what it received and sends what the test passes.
 struct End : net::TcpConnection::Owner {
   explicit End(Loop& loop) : loop(loop), stream(std::make_shared<net::TcpConnection>(loop, *this)) {}
   ~End() override { stream->close(); }
@@ -28,12 +28,14 @@
     closed = true;
     why = reason;
   }
-  /// A reset, whatever is still under way.
+  /// Closes the connection with a TCP reset.
   void reset() {
     stream->reset();
     closed = true;
   }
+  /// Whether the text was received.
   [[nodiscard]] bool has(std::string_view text) const { return in.find(text) != std::string::npos; }
+  /// How often the text was received.
   [[nodiscard]] std::size_t count(std::string_view text) const {
     std::size_t found = 0;
     for (auto at = in.find(text); at != std::string::npos; at = in.find(text, at + 1)) ++found;
@@ -41,12 +43,12 @@
   }
   Loop& loop;
   std::shared_ptr<net::TcpConnection> stream;
-  std::string in;
+  std::string in;  ///< received and not taken out by the test
   bool closed = false;
   net::CloseReason why = net::CloseReason::kEnded;
 };
 
-/// A stand-in's listening side; every connection it takes is kept.
+/// Listening socket of a stand-in; keeps every connection that it accepts.
 struct Listener {
   explicit Listener(Loop& loop, std::uint16_t port = 0)
       : loop(loop),
@@ -62,18 +64,19 @@
       accept();
     });
   }
-  /// The process dies: no more listening, every connection is reset.
+  /// Simulates the end of the process: stops to listen and closes every connection.
   void die() {
     acceptor.close();
     ends.clear();
   }
-  /// The end that holds the text; null: none does.
+  /// Returns the first end that received the text, or null.
   End* with(std::string_view text) {
     for (auto& end : ends) {
       if (end->has(text)) return end.get();
     }
     return nullptr;
   }
+  /// How often the text was received on all ends together.
   [[nodiscard]] std::size_t count(std::string_view text) const {
     std::size_t found = 0;
     for (const auto& end : ends) found += end->count(text);
@@ -81,11 +84,12 @@
   }
   Loop& loop;
   asio::ip::tcp::acceptor acceptor;
-  std::string address;  ///< also once it has died
+  std::string address;  ///< host:port; stays valid after die()
   std::vector<std::unique_ptr<End>> ends;
-  std::function<std::unique_ptr<End>()> make;  ///< where more than an End is wanted
+  std::function<std::unique_ptr<End>()> make;  ///< creates the ends, if a test needs a subclass of End
 };
 
+/// Returns a configuration with two classes, one tenant and one router.
 inline app::Config bench_config() {
   app::Config config;
   config.name = "n0";
@@ -115,7 +119,7 @@
   return config;
 }
 
-/// A router with one session server and the command channel, all stand-ins.
+/// A router with one SIP server, the command channel and one caller, which are stand-ins.
 struct Bench {
   explicit Bench(const app::OperatorFile& setup = {}, const app::Config& base = bench_config())
       : server(loop), channel(loop), config(base) {
@@ -124,7 +128,7 @@
     caller = connect(router->callers_at());
   }
 
-  /// Runs the loop until the condition holds; fails the test when it does not within five seconds.
+  /// Runs the loop until the condition holds; fails the test if it does not hold within five seconds.
   void until(const std::function<bool()>& holds) {
     const Instant limit = Loop::now() + std::chrono::seconds{5};
     bool held = holds();
@@ -134,48 +138,56 @@
     }
     REQUIRE(held);
   }
-  /// Lets what is under way arrive: two exchanges over loopback sockets, each behind all that was sent.
+  /// Waits until messages in transit have arrived: two health checks over the connection of the caller, each
+  /// after all that was sent before.
   void settle() {
     for (int i = 0; i < 2; ++i) {
-      const auto had = caller->count("\"probed\"");
+      const auto count_before = caller->count("\"probed\"");
       say("{\"msg\":\"probe\",\"sid\":\"00000000000000ff\",\"attrs\":{},\"code\":0}\n");
-      until([&] { return caller->count("\"probed\"") > had; });
+      until([&] { return caller->count("\"probed\"") > count_before; });
     }
   }
+  /// Opens another connection; the result may not be open yet.
   std::unique_ptr<End> connect(const asio::ip::tcp::endpoint& to) {
     auto end = std::make_unique<End>(loop);
     end->stream->connect(to, milliseconds{500});
     return end;
   }
+  /// Applies an update of the endpoint list with the stand-in server. `started`: milliseconds since the Unix
+  /// epoch.
   void list(EndpointState state = EndpointState::kReady, std::int64_t started = 0,
             const std::string& name = "s1") {
-    discovery::EndpointUpdate news;
-    news.has_servers = true;
-    news.changes.push_back({name, server.address, 0, state, started});
-    router->apply(news);
+    discovery::EndpointUpdate update;
+    update.has_servers = true;
+    update.changes.push_back({name, server.address, 0, state, started});
+    router->apply(update);
   }
+  /// Sends text on the connection of the caller.
   void say(const std::string& text) { caller->stream->send(text); }
+  /// Sends a set-up from the caller; `left` is its remaining time in milliseconds.
   void open(const std::string& sid, int left = 2000, const std::string& text = "desc") {
     say("{\"msg\":\"open\",\"sid\":\"" + sid + "\",\"attrs\":{\"class\":\"voice\",\"left\":\"" +
         std::to_string(left) +
         "\",\"tenant\":\"acme\",\"key\":\"77aa\",\"extras\":\"dest:0;width:1;via:-1\"},\"text\":\"" + text +
         "\"}\n");
   }
-  /// The server's end on which that call's INVITE came.
+  /// Waits for the first INVITE of a call and returns the server's end that received it.
   End& invited(const std::string& sid) {
     const auto text = "Call-ID: " + sid + "\r\nCSeq: 1 INVITE";
     until([&] { return server.with(text) != nullptr; });
     return *server.with(text);
   }
+  /// Returns a SIP message; `more` holds further complete header lines.
   static std::string sip(const std::string& first, const std::string& sid, const std::string& cseq,
                          const std::string& more = "", const std::string& body = "") {
     return first + "\r\nCall-ID: " + sid + "\r\nCSeq: " + cseq + "\r\n" + more +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
+  /// Sends a 200 answer to the INVITE of a call.
   void answer(End& end, const std::string& sid, const std::string& body = "sdp") {
     end.stream->send(sip("SIP/2.0 200 OK", sid, "1 INVITE", "", body));
   }
-  /// Opens a call and lets it stand.
+  /// Establishes a call and returns the end of the server that carries it.
   End& standing(const std::string& sid) {
     open(sid);
     auto& end = invited(sid);
--- a/tests/net_parse_test.cpp
+++ b/tests/net_parse_test.cpp
@@ -1,4 +1,5 @@
-// Tables of cases for the parsers of the thin wires.
+// Tables of cases for the parsers of the text protocols, the configuration and the endpoint list, and for the
+// timer wheel.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -20,7 +21,7 @@
 using amberknot::settings::SseEvent;
 using amberknot::settings::SseReader;
 
-TEST_CASE("half of a surrogate pair is no text") {
+TEST_CASE("a text with a lone surrogate counts as missing") {
   JsonLineReader reader;
   const auto has_text = [&](std::string line) {
     line.append(settings::kJsonPad, '\0');
@@ -34,11 +35,11 @@
   CHECK_FALSE(has_text(head + "\\ude0b\"}"));
 }
 
-TEST_CASE("a JSON line is read, or refused as a whole") {
+TEST_CASE("a JSON line is parsed completely or rejected") {
   using Type = JsonLine::Type;
   struct Case {
     const char* line;
-    bool readable;
+    bool is_valid;
     Type type;
   };
   const Case cases[] = {
@@ -63,7 +64,7 @@
     std::string line = one.line;
     line += '\n';
     const auto read = reader.read({line.data(), line.size() - 1}, &line.back());
-    CHECK(read.has_value() == one.readable);
+    CHECK(read.has_value() == one.is_valid);
     if (read) CHECK(read->type == one.type);
   }
   std::string deep(16'000, '[');
@@ -71,7 +72,7 @@
   CHECK_FALSE(reader.read({deep.data(), deep.size() - 1}, &deep.back()));
 }
 
-TEST_CASE("numbers are read as texts are, and texts keep their line ends") {
+TEST_CASE("numeric attributes are accepted in place of text, and text keeps its line ends") {
   std::string line =
       R"({"msg":"open","sid":"9b1f03aa5c7e2d41","attrs":{"left":1500,"key":"7"},"text":"a\r\nb"})"
       "\n";
@@ -84,17 +85,17 @@
         "{\"msg\":\"ready\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"text\":\"a\\r\\nb\"}\n");
 }
 
-TEST_CASE("a refusal tells its caller how long to stay away") {
+TEST_CASE("a rejection tells the caller how long to wait before a retry") {
   const std::string head = "{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{";
   CHECK(close_line("9b1f03aa5c7e2d41", core::Cause::kCongestion, std::chrono::milliseconds{1500}) ==
         head + "\"wait\":\"1500\"},\"code\":42}\n");
   CHECK(close_line("9b1f03aa5c7e2d41", core::Cause::kNormal) == head + "},\"code\":16}\n");
 }
 
-TEST_CASE("extras are read, and what is not a figure is refused") {
+TEST_CASE("extras are parsed, and invalid numbers are rejected") {
   struct Case {
     const char* text;
-    bool readable;
+    bool is_valid;
     int dest;
     bool again;
   };
@@ -109,14 +110,14 @@
   for (const auto& one : cases) {
     CAPTURE(one.text);
     const auto read = read_extras(one.text);
-    REQUIRE(read.has_value() == one.readable);
+    REQUIRE(read.has_value() == one.is_valid);
     if (!read) continue;
     CHECK((read->destination_pool ? static_cast<int>(*read->destination_pool) : -1) == one.dest);
     CHECK(read->is_redial == one.again);
   }
 }
 
-TEST_CASE("a SIP message is read whole, awaited, or refused") {
+TEST_CASE("a SIP message is parsed, incomplete or rejected") {
   using State = SipRead::State;
   struct Case {
     const char* text;
@@ -154,12 +155,12 @@
   CHECK(read_sip(std::string(net::kMaxMessage + 1, 'a'), net::kMaxMessage).state == State::kBad);
 }
 
-TEST_CASE("the wait of a full processor, and what is none") {
+TEST_CASE("X-Lag is parsed only from a full processor and as a positive whole number") {
   const struct {
     const char* diagnosis;
     const char* lag;
     std::optional<Duration> wait;
-  } rows[] = {
+  } cases[] = {
       {"acc", "250", std::chrono::milliseconds{250}},
       {"acc", "4294967295", std::chrono::milliseconds{4294967295}},
       {"acc", "4294967296", std::nullopt},
@@ -172,9 +173,9 @@
       {"sub", "250", std::nullopt},
       {"", "250", std::nullopt},
   };
-  for (const auto& row : rows) {
-    CAPTURE(row.lag);
-    CHECK(read_retry_after(row.diagnosis, row.lag) == row.wait);
+  for (const auto& one : cases) {
+    CAPTURE(one.lag);
+    CHECK(read_retry_after(one.diagnosis, one.lag) == one.wait);
   }
   const auto read = read_sip(
       "SIP/2.0 503 Full\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\nX-Diagnosis: acc\r\nx-lag: 1700\r\n"
@@ -183,7 +184,7 @@
   CHECK(read.head.lag == "1700");
 }
 
-TEST_CASE("causes and load reports") {
+TEST_CASE("Q.850 causes and load reports are parsed") {
   CHECK(read_q850_cause("Q.850;cause=16") == 16);
   CHECK(read_q850_cause("Q.850\r\n ;cause=41;text=\"x\"") == 41);
   CHECK_FALSE(read_q850_cause("SIP;cause=200"));
@@ -196,7 +197,7 @@
   CHECK(read_load_report("x0:1;queue:3").waiting == 3.0);
 }
 
-TEST_CASE("server-sent events survive every cut and every line end") {
+TEST_CASE("server-sent events are parsed at every split and with every line end") {
   const std::string text = ": hi\r\n\r\nid: 4\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\nid:5\ndata:x\n\n";
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
     CAPTURE(cut);
@@ -215,29 +216,29 @@
   CHECK_FALSE(reader.feed(std::string(2'000'000, 'a'), [](const SseEvent&) {}));
 }
 
-TEST_CASE("news of the list: states, starts and what cannot be read") {
-  const auto news = parse_endpoint_update(
+TEST_CASE("an endpoint update: states, start times, and input that cannot be parsed") {
+  const auto update = parse_endpoint_update(
       R"({"cursor":41,"nodes":{"snapshot":true,"endpoints":[)"
       R"({"name":"a","address":"10.1.0.9:5070","group":2,"status":"draining","since_ms":1700000000123},)"
       R"({"name":"b","address":"x","group":0,"status":"odd"},{"address":"x","status":"ready"}]}})");
-  REQUIRE(news);
-  CHECK(news->cursor == 41);
-  CHECK(news->whole_list);
-  REQUIRE(news->changes.size() == 1);
-  CHECK(news->changes[0].state == EndpointState::kDraining);
-  CHECK(news->changes[0].pool == 2);
-  CHECK(news->changes[0].started_unix_ms == 1700000000123);
+  REQUIRE(update);
+  CHECK(update->cursor == 41);
+  CHECK(update->whole_list);
+  REQUIRE(update->changes.size() == 1);
+  CHECK(update->changes[0].state == EndpointState::kDraining);
+  CHECK(update->changes[0].pool == 2);
+  CHECK(update->changes[0].started_unix_ms == 1700000000123);
   CHECK(parse_endpoint_update(R"({"cursor":1})")->has_servers == false);
-  for (const char* bad : {"", "{", "[]", R"({"nodes":{}})", R"({"cursor":1,"nodes":{"endpoints":3}})"}) {
-    CAPTURE(bad);
-    CHECK_FALSE(parse_endpoint_update(std::string(bad)));
+  for (const char* invalid : {"", "{", "[]", R"({"nodes":{}})", R"({"cursor":1,"nodes":{"endpoints":3}})"}) {
+    CAPTURE(invalid);
+    CHECK_FALSE(parse_endpoint_update(std::string(invalid)));
   }
 }
 
-TEST_CASE("a bad operator file names its field") {
+TEST_CASE("the error for an invalid operator file names the field") {
   struct Case {
     const char* json;
-    const char* says;
+    const char* expected_text;
   };
   const Case cases[] = {
       {"x", "not JSON"},
@@ -252,26 +253,26 @@
   };
   for (const auto& one : cases) {
     CAPTURE(one.json);
-    std::string said;
+    std::string error_text;
     try {
       read_operator_file(one.json);
     } catch (const ConfigError& error) {
-      said = error.what();
+      error_text = error.what();
     }
-    CHECK(said.find(one.says) != std::string::npos);
+    CHECK(error_text.find(one.expected_text) != std::string::npos);
   }
   const auto whole = read_operator_file(read_file(EXAMPLE_OPERATOR_FILE));
   CHECK(whole.diameter->is_diameter_server("s-0512ce2f"));
   CHECK(whole.ldap->key_attribute == "associatedDomain");
 }
 
-TEST_CASE("a bad configuration names its field") {
-  const std::string good =
+TEST_CASE("the error for an invalid configuration names the field") {
+  const std::string valid_prefix =
       R"({"name":"n","listen":"127.0.0.1:1","seed":"0f","channel":"127.0.0.1:2","known":{"cursor":0,"cmds":[]},)"
       R"("settings":{)";
   struct Case {
     std::string json;
-    const char* says;
+    const char* expected_text;
   };
   const Case cases[] = {{"{", "not a JSON object"},
                         {R"({"listen":"here"})", "listen"},
@@ -279,36 +280,38 @@
                         {R"({"listen":"127.0.0.1:1","seed":"xyz"})", "seed"},
                         {R"({"listen":"127.0.0.1:1","seed":"0","channel":"x"})", "channel"},
                         {R"({"listen":"127.0.0.1:1","seed":"0","channel":"127.0.0.1:2"})", "known"},
-                        {good + "}}", "siblings"}};
+                        {valid_prefix + "}}", "siblings"}};
   for (const auto& one : cases) {
     CAPTURE(one.json);
-    std::string said;
+    std::string error_text;
     try {
       read_config(one.json, "", "");
     } catch (const ConfigError& error) {
-      said = error.what();
+      error_text = error.what();
     }
-    CHECK(said.find(one.says) != std::string::npos);
+    CHECK(error_text.find(one.expected_text) != std::string::npos);
   }
 }
 
-TEST_CASE("the wheel fires in time, in order and never early") {
+TEST_CASE("timers expire in time, in order and never early") {
   using core::TimerWheel;
   const Instant start{std::chrono::seconds{5}};
   TimerWheel wheel(start);
-  std::vector<int> fired;
-  wheel.at(start + std::chrono::milliseconds{12}, [&] { fired.push_back(12); });
-  wheel.at(start + std::chrono::seconds{30}, [&] { fired.push_back(30'000); });  // more than once round
-  const auto dropped = wheel.at(start + std::chrono::milliseconds{12}, [&] { fired.push_back(-1); });
-  wheel.at(start, [&] { wheel.at(start, [&] { fired.push_back(0); }); });  // one that sets another
-  wheel.cancel(dropped);
+  std::vector<int> expired;
+  wheel.at(start + std::chrono::milliseconds{12}, [&] { expired.push_back(12); });
+  wheel.at(start + std::chrono::seconds{30},
+           [&] { expired.push_back(30'000); });  // more than one revolution of the wheel
+  const auto cancelled = wheel.at(start + std::chrono::milliseconds{12}, [&] { expired.push_back(-1); });
+  wheel.at(start,
+           [&] { wheel.at(start, [&] { expired.push_back(0); }); });  // a timer that starts another one
+  wheel.cancel(cancelled);
   wheel.advance(start + std::chrono::milliseconds{11});
-  CHECK(fired == std::vector<int>{0});
+  CHECK(expired == std::vector<int>{0});
   wheel.advance(start + std::chrono::milliseconds{15});
-  CHECK(fired == std::vector<int>{0, 12});
+  CHECK(expired == std::vector<int>{0, 12});
   wheel.advance(start + std::chrono::milliseconds{29'999});
-  CHECK(fired.size() == 2);
+  CHECK(expired.size() == 2);
   wheel.advance(start + std::chrono::milliseconds{30'000});
-  CHECK(fired.size() == 3);
+  CHECK(expired.size() == 3);
   CHECK(wheel.size() == 0);
 }
--- a/tests/stuck_connection_test.cpp
+++ b/tests/stuck_connection_test.cpp
@@ -1,5 +1,6 @@
-// A connection to a session server that passes for stuck is ended by the router while its server does not
-// know of that yet, and goes on telling by it what concerns the calls that came by it.
+// Guards against lost releases when the router gives up a connection to a session server that it considers
+// stalled: the server may not notice for some time, and still sends messages on it for calls that were set up
+// there.
 #include <array>
 
 #include "net_bench.hpp"
@@ -11,10 +12,11 @@
 
 const std::string kEstablished = "00000000000000a1";
 constexpr std::size_t kMaxConnections = 4;
-// A set-up sent so much later and answered shows that the connection of the earlier one is stuck.
-constexpr Duration kSentLater = milliseconds{80};
+// A set-up that is sent this much later and answered shows that the connection of the earlier one is stalled.
+constexpr Duration kSetUpGap = milliseconds{80};
 
-/// A connection of the server's, read only when the test says so: until then its end is not seen.
+/// An accepted connection of the server, which is read only when the test says so; until then its end is not
+/// noticed.
 struct ServerConnection {
   explicit ServerConnection(asio::ip::tcp::socket accepted) : socket(std::move(accepted)) {
     socket.non_blocking(true);
@@ -40,15 +42,15 @@
   return Bench::sip("SIP/2.0 200 OK", sid, "1 INVITE", "", "sdp");
 }
 
-/// A router whose server answers on all its connections but one.
-struct StuckConnectionFixture {
-  StuckConnectionFixture() : acceptor(bench.loop.io, {asio::ip::make_address("127.0.0.1"), 0}) {
+/// A router with a server that answers on all its connections but one.
+struct StalledConnectionFixture {
+  StalledConnectionFixture() : acceptor(bench.loop.io, {asio::ip::make_address("127.0.0.1"), 0}) {
     accept();
-    discovery::EndpointUpdate news;
-    news.has_servers = true;
+    discovery::EndpointUpdate update;
+    update.has_servers = true;
     const auto address = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
-    news.changes.push_back({"s1", address, 0, EndpointState::kReady, 0});
-    bench.router->apply(news);
+    update.changes.push_back({"s1", address, 0, EndpointState::kReady, 0});
+    bench.router->apply(update);
   }
   void accept() {
     acceptor.async_accept([this](const asio::error_code& error, asio::ip::tcp::socket socket) {
@@ -57,11 +59,11 @@
       accept();
     });
   }
-  /// The connection that carries the text; null: none does.
+  /// Returns the connection that received the text, or null.
   ServerConnection* with(const std::string& text) {
-    for (const auto& one : connections) {
-      if (one.get() != unread) one->read();
-      if (one->has(text)) return one.get();
+    for (const auto& connection : connections) {
+      if (connection.get() != unread) connection->read();
+      if (connection->has(text)) return connection.get();
     }
     return nullptr;
   }
@@ -70,120 +72,121 @@
     bench.until([&] { return (found = with(invite_of(sid))) != nullptr; });
     return *found;
   }
-  void stand(const std::string& sid, ServerConnection& by) {
-    by.say(answer_to(sid));
+  void establish(const std::string& sid, ServerConnection& connection) {
+    connection.say(answer_to(sid));
     bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + sid); });
   }
-  /// One call stands that came by the returned connection, and the router has given that connection up since
-  /// a later set-up on it was not answered; `unanswered` is that set-up.
-  ServerConnection& stuck() {
+  /// Returns a connection with one established call that the router has given up because a later set-up on it
+  /// was not answered; `unanswered` is the id of that set-up.
+  ServerConnection& stalled_connection() {
     bench.open(kEstablished);
-    auto& one = invited(kEstablished);
-    stand(kEstablished, one);
+    auto& established = invited(kEstablished);
+    establish(kEstablished, established);
     while (unread == nullptr) {
       const auto sid = next_id();
       bench.open(sid);
-      auto& by = invited(sid);
-      if (&by == &one) {
+      auto& connection = invited(sid);
+      if (&connection == &established) {
         unanswered = sid;
-        unread = &one;
+        unread = &established;
       } else {
-        stand(sid, by);
+        establish(sid, connection);
       }
     }
-    const Instant sent = net::Loop::now();
-    bench.until([&] { return net::Loop::now() - sent > kSentLater; });
-    before_cut = connections.size();
+    const Instant sent_at = net::Loop::now();
+    bench.until([&] { return net::Loop::now() - sent_at > kSetUpGap; });
+    connections_before_close = connections.size();
     const auto later = next_id();
     bench.open(later);
-    stand(later, invited(later));
+    establish(later, invited(later));
     bench.until([&] { return bench.router->counters().stalled_connections == 1; });
-    return one;
+    return established;
   }
 
-  /// As many connections as the router opens to one server, with nothing out.
-  void open_all() {
+  /// Opens as many connections as the router allows for one server, with no set-up in flight.
+  void open_all_connections() {
     std::vector<std::string> ids;
     for (std::size_t i = 0; i < kMaxConnections; ++i) bench.open(ids.emplace_back(next_id()));
     for (const auto& id : ids) invited(id);
-    for (const auto& id : ids) stand(id, invited(id));
+    for (const auto& id : ids) establish(id, invited(id));
     REQUIRE(connections.size() == kMaxConnections);
   }
 
-  std::string next_id() { return std::to_string(1'000'000'000'000'000 + ++made); }
+  std::string next_id() { return std::to_string(1'000'000'000'000'000 + ++id_count); }
 
   Bench bench;
   asio::ip::tcp::acceptor acceptor;
   std::vector<std::unique_ptr<ServerConnection>> connections;
   ServerConnection* unread = nullptr;
   std::string unanswered;
-  std::size_t before_cut = 0;
-  int made = 0;
+  std::size_t connections_before_close = 0;
+  int id_count = 0;
 };
 
 }  // namespace
 
-TEST_CASE("a release told by a connection that was given up, before its server knows of that, is heard") {
-  StuckConnectionFixture fixture;
+TEST_CASE("a release on a half-closed connection is handled if the server has not noticed the half-close") {
+  StalledConnectionFixture fixture;
   auto& bench = fixture.bench;
-  auto& stuck = fixture.stuck();
-  // The connection that takes its place opens before the release, which is not told there again.
-  bench.until([&] { return fixture.connections.size() > fixture.before_cut; });
+  auto& stalled_connection = fixture.stalled_connection();
+  // The replacement connection opens before the release, so the server does not repeat the release there.
+  bench.until([&] { return fixture.connections.size() > fixture.connections_before_close; });
   bench.settle();
-  stuck.say(Bench::sip("BYE sip:router@net SIP/2.0", kEstablished, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  stalled_connection.say(
+      Bench::sip("BYE sip:router@net SIP/2.0", kEstablished, "2 BYE", "Reason: Q.850;cause=16\r\n"));
   bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kEstablished); });
-  // Nothing more came by it: what was out on it is over for the server as soon as it reads the end.
+  // The router sends nothing more on it: the server ends the set-ups on it when it reads the end.
   bench.until([&] {
-    stuck.read();
-    return stuck.ended;
+    stalled_connection.read();
+    return stalled_connection.ended;
   });
-  CHECK_FALSE(stuck.has("SIP/2.0 200 OK\r\nCall-ID: " + kEstablished));
+  CHECK_FALSE(stalled_connection.has("SIP/2.0 200 OK\r\nCall-ID: " + kEstablished));
 }
 
-TEST_CASE("an answer by a connection that was given up stands for nobody: it is released by another one") {
-  StuckConnectionFixture fixture;
+TEST_CASE("a late answer on a half-closed connection is released on another connection") {
+  StalledConnectionFixture fixture;
   auto& bench = fixture.bench;
-  auto& stuck = fixture.stuck();
+  auto& stalled_connection = fixture.stalled_connection();
   bench.say("{\"msg\":\"close\",\"sid\":\"" + fixture.unanswered + "\",\"attrs\":{},\"code\":16}\n");
   bench.until([&] { return bench.router->counters().abandoned == 1; });
-  stuck.say(answer_to(fixture.unanswered));
+  stalled_connection.say(answer_to(fixture.unanswered));
   bench.until([&] { return bench.router->counters().late_answers == 1; });
   bench.until([&] {
-    const auto* by = fixture.with("BYE sip:");
-    return by != nullptr && by->has("Call-ID: " + fixture.unanswered + "\r\nCSeq: 2 BYE");
+    const auto* connection = fixture.with("BYE sip:");
+    return connection != nullptr && connection->has("Call-ID: " + fixture.unanswered + "\r\nCSeq: 2 BYE");
   });
   CHECK_FALSE(bench.caller->has("\"ready\",\"sid\":\"" + fixture.unanswered));
 }
 
-TEST_CASE("a release by a connection that was given up does not end the call's next attempt") {
-  StuckConnectionFixture fixture;
+TEST_CASE("a release on a half-closed connection does not end the next attempt of the call") {
+  StalledConnectionFixture fixture;
   auto& bench = fixture.bench;
-  auto& stuck = fixture.stuck();
+  auto& stalled_connection = fixture.stalled_connection();
   const auto& call = fixture.unanswered;
   ServerConnection* next = nullptr;
   bench.until([&] { return (next = fixture.with("Call-ID: " + call + "\r\nCSeq: 2 INVITE")) != nullptr; });
-  // The first attempt was answered and came to its end, which the router hears now.
-  stuck.say(answer_to(call) +
-            Bench::sip("BYE sip:router@net SIP/2.0", call, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  // The server answered and released the first attempt, and the router receives both only now.
+  stalled_connection.say(answer_to(call) + Bench::sip("BYE sip:router@net SIP/2.0", call, "2 BYE",
+                                                      "Reason: Q.850;cause=16\r\n"));
   bench.until([&] { return bench.router->counters().second_answers == 1; });
   bench.settle();
-  fixture.stand(call, *next);
+  fixture.establish(call, *next);
   CHECK_FALSE(bench.caller->has("\"close\",\"sid\":\"" + call));
 }
 
-// What is told by the connection that was given up is lost on its way, and so is its end.
-TEST_CASE("while a server does not close what was given up, another one is opened on which it tells again") {
-  StuckConnectionFixture fixture;
+// Messages on the half-closed connection are lost, and so is its end.
+TEST_CASE("while the server keeps a half-closed connection open, another is opened for releases") {
+  StalledConnectionFixture fixture;
   auto& bench = fixture.bench;
   SUBCASE("with room for another connection") {}
-  SUBCASE("with as many connections as a server takes: one that carries nothing makes room") {
-    fixture.open_all();
+  SUBCASE("with the maximum number of connections: an idle one is closed to make room") {
+    fixture.open_all_connections();
   }
-  fixture.stuck();
-  bench.until([&] { return fixture.connections.size() > fixture.before_cut; });
+  fixture.stalled_connection();
+  bench.until([&] { return fixture.connections.size() > fixture.connections_before_close; });
   bench.settle();
-  const auto replaced = fixture.connections.size();
-  bench.until([&] { return fixture.connections.size() > replaced; });
+  const auto count_before = fixture.connections.size();
+  bench.until([&] { return fixture.connections.size() > count_before; });
   fixture.connections.back()->say(
       Bench::sip("BYE sip:router@net SIP/2.0", kEstablished, "2 BYE", "Reason: Q.850;cause=16\r\n"));
   bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kEstablished); });
--- a/tests/wire_format_jsonl_test.cpp
+++ b/tests/wire_format_jsonl_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of every JSON line to a caller.
+// Guards against changes of the wire format: the exact bytes of every JSON line to a caller.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include "jsonl/codec.hpp"
 #include "net_bench.hpp"
@@ -9,7 +9,7 @@
 
 const std::string kCallId = "9b1f03aa5c7e2d41";
 
-/// What came at the caller's end, up to and with a whole line that holds the text.
+/// Waits for a complete line with the text, and takes out and returns everything the caller received.
 std::string line_with(Bench& bench, std::string_view text) {
   bench.until([&] { return bench.caller->has(text) && bench.caller->in.ends_with('\n'); });
   return taken_from(bench.caller->in);
@@ -31,7 +31,7 @@
                                       "\n");
 }
 
-TEST_CASE("JSON line bytes: a release by the server, and a call that was cut") {
+TEST_CASE("JSON line bytes: a release by the server, and a call that was lost") {
   struct Case {
     std::string reason;
     std::string line;
@@ -52,7 +52,7 @@
   }
 }
 
-TEST_CASE("JSON line bytes: a call that failed at its server, and one with a bad field") {
+TEST_CASE("JSON line bytes: a call that failed at its server, and one with an invalid field") {
   auto config = bench_config();
   for (auto& call_class : config.settings.classes) call_class.idempotent = false;
   Bench bench({}, config);
@@ -67,7 +67,7 @@
                                      "\n");
 }
 
-TEST_CASE("JSON line bytes: a call rejected by the only server, with the time to stay away") {
+TEST_CASE("JSON line bytes: a call rejected by the only server, with a time to wait") {
   Bench bench;
   bench.list();
   bench.open(kCallId, 300);
@@ -78,30 +78,30 @@
         "\n");
 }
 
-TEST_CASE("JSON line bytes: a call rejected after its time") {
+TEST_CASE("JSON line bytes: a call rejected when its remaining time is over") {
   Bench bench;
   bench.open(kCallId, 100);
   CHECK(line_with(bench, "close") == R"({"msg":"close","sid":"9b1f03aa5c7e2d41","attrs":{},"code":42})"
                                      "\n");
 }
 
-TEST_CASE("JSON line bytes: a test that passes, and one that fails in standby") {
-  const std::string test = R"({"msg":"probe","sid":"00000000000000ff","attrs":{},"code":0})"
-                           "\n";
+TEST_CASE("JSON line bytes: a health check that passes, and one that fails in standby") {
+  const std::string health_check = R"({"msg":"probe","sid":"00000000000000ff","attrs":{},"code":0})"
+                                   "\n";
   Bench bench;
-  bench.say(test);
+  bench.say(health_check);
   CHECK(line_with(bench, "probed") == R"({"msg":"probed","sid":"00000000000000ff","attrs":{},"code":1})"
                                       "\n");
   bench.list();
   bench.open(kCallId);
-  bench.invited(kCallId);  // a connection that waits for an answer stays open in standby
+  bench.invited(kCallId);  // a connection with an unanswered call stays open in standby
   bench.router->standby(true);
-  bench.say(test);
+  bench.say(health_check);
   CHECK(line_with(bench, "probed") == R"({"msg":"probed","sid":"00000000000000ff","attrs":{},"code":0})"
                                       "\n");
 }
 
-TEST_CASE("JSON line bytes: a release with each cause, and with the time to stay away") {
+TEST_CASE("JSON line bytes: a release with each cause, and with a time to wait") {
   struct Case {
     int cause;
     const char* line;
--- a/tests/wire_format_sip_test.cpp
+++ b/tests/wire_format_sip_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of every SIP message to a session server.
+// Guards against changes of the wire format: the exact bytes of every SIP message to a session server.
 #include "net_bench.hpp"
 #include "sip/codec.hpp"
 #include "wire_format.hpp"
@@ -8,14 +8,14 @@
 
 const std::string kCallId = "9b1f03aa5c7e2d41";
 
-/// What came at the server's end on which a head begins with the text, up to and with the end of that head.
-/// The remaining time of an INVITE depends on the clock.
-std::string message_with(Bench& bench, std::string_view first) {
+/// Waits for a complete head that begins with the text, and takes out and returns everything that the server
+/// received on that connection. The remaining time of an INVITE is masked, because it depends on the clock.
+std::string message_with(Bench& bench, std::string_view start) {
   const auto has_head = [&](const End* end) {
-    return end != nullptr && end->in.find("\r\n\r\n", end->in.find(first)) != std::string::npos;
+    return end != nullptr && end->in.find("\r\n\r\n", end->in.find(start)) != std::string::npos;
   };
-  bench.until([&] { return has_head(bench.server.with(first)); });
-  return mask_digits_after(taken_from(bench.server.with(first)->in), "X-Timer-Ms: ");
+  bench.until([&] { return has_head(bench.server.with(start)); });
+  return mask_digits_after(taken_from(bench.server.with(start)->in), "X-Timer-Ms: ");
 }
 
 }  // namespace
