--- a/src/jsonl/codec.cpp
+++ b/src/jsonl/codec.cpp
@@ -56,7 +56,7 @@
   return read;
 }
 
-std::optional<Extras> read_extras(std::string_view text) {
+std::optional<Extras> parse_extras(std::string_view text) {
   Extras extras;
   while (!text.empty()) {
     const auto part = text.substr(0, text.find(';'));
@@ -74,7 +74,7 @@
       if (*value <= 0 || *value > 1e6) return std::nullopt;
       extras.width = *value;
     } else if (name == "again") {
-      extras.is_redial = *value != 0;
+      extras.was_aborted = *value != 0;
     }
   }
   return extras;
--- a/src/jsonl/codec.hpp
+++ b/src/jsonl/codec.hpp
@@ -43,11 +43,11 @@
 struct Extras {
   std::optional<std::uint32_t> destination_pool;  ///< `dest`, a pool id
   double width = 1;                               ///< channels that the call needs
-  bool is_redial = false;                         ///< `again`
+  bool was_aborted = false;                       ///< `again`: the call was aborted and is set up again
 };
 /// Parses an `extras` value such as `dest:2;width:1;via:-1`. Unknown names are skipped. Returns nullopt if an
 /// entry is not a name and a number, or if a known value is out of range.
-std::optional<Extras> read_extras(std::string_view text);
+std::optional<Extras> parse_extras(std::string_view text);
 
 /// Whether the text is a call id: 16 hex digits.
 bool is_call_id(std::string_view text);
--- a/src/jsonl/frontend.cpp
+++ b/src/jsonl/frontend.cpp
@@ -413,7 +413,7 @@
   const double max_wait_ms = kMaxDeadlineFactor * static_cast<double>(rules.deadline.count()) / 1000.0;
   if (!remaining_ms || *remaining_ms < 0 || *remaining_ms > max_wait_ms) return "left";
   if (!core::is_number_called(line.number)) return "key";
-  const auto extras = read_extras(line.extras);
+  const auto extras = parse_extras(line.extras);
   if (line.extras.empty() || !extras || !extras->destination_pool) return "extras";
   const PoolId destination_pool{*extras->destination_pool};
   if (!rules.pools.empty() &&
@@ -430,7 +430,7 @@
   to.facts.expires = net::Loop::now() + Duration{static_cast<std::int64_t>(*remaining_ms * 1000.0)};
   to.facts.first_choice = destination_pool;
   to.facts.width = extras->width;
-  to.facts.was_aborted = extras->is_redial;
+  to.facts.was_aborted = extras->was_aborted;
   to.facts.call_class = *class_index;
   to.facts.tenant = *tenant;
   if (translator_ != nullptr) {
@@ -443,7 +443,7 @@
     message->set(Meaning::kTenant, line.tenant);
     message->set(Meaning::kNumber, line.number);
     message->set(Meaning::kDescription, line.text);
-    message->set(Meaning::kAgain, extras->is_redial ? 1 : 0);
+    message->set(Meaning::kAgain, extras->was_aborted ? 1 : 0);
     to.facts.excluded_versions = translator_->rule(*message, translation_scratch_);
     to.message = std::move(message);
   }
--- a/src/sip/codec.cpp
+++ b/src/sip/codec.cpp
@@ -35,7 +35,7 @@
 }
 
 /// Parses a request line or status line into `head`. Returns false if the line is neither.
-bool read_first_line(std::string_view line, SipHead& head) {
+bool parse_start_line(std::string_view line, SipHead& head) {
   constexpr std::string_view kVersion = "SIP/2.0";
   if (line.substr(0, kVersion.size() + 1) == "SIP/2.0 ") {
     const auto code = parse_number<int>(line.substr(kVersion.size() + 1, 3));
@@ -75,7 +75,7 @@
     const auto line = bytes.substr(at, line_end - at);
     at = line_end + 2;
     if (line_count++ == 0) {
-      if (!read_first_line(line, head)) return read;
+      if (!parse_start_line(line, head)) return read;
       continue;
     }
     if (line_count > kMaxHeaders) return read;
@@ -139,7 +139,7 @@
   return true;
 }
 
-std::optional<int> read_q850_cause(std::string_view reason) {
+std::optional<int> parse_q850_cause(std::string_view reason) {
   const auto at = reason.find("cause=");
   if (reason.substr(0, 5) != "Q.850" || at == std::string_view::npos) return std::nullopt;
   auto digits = reason.substr(at + 6);
@@ -147,14 +147,14 @@
   return parse_number<int>(digits);
 }
 
-std::optional<Duration> read_retry_after(std::string_view diagnosis, std::string_view lag) {
+std::optional<Duration> parse_retry_after(std::string_view diagnosis, std::string_view lag) {
   if (diagnosis != "acc") return std::nullopt;
   const auto wait_ms = parse_number<std::uint32_t>(lag);
   if (!wait_ms || *wait_ms == 0) return std::nullopt;
   return std::chrono::milliseconds{*wait_ms};
 }
 
-LoadReport read_load_report(std::string_view text) {
+LoadReport parse_load_report(std::string_view text) {
   LoadReport report;
   while (!text.empty()) {
     const auto part = text.substr(0, text.find(';'));
--- a/src/sip/codec.hpp
+++ b/src/sip/codec.hpp
@@ -44,14 +44,14 @@
 bool is_description(std::string_view body);
 
 /// Parses a Reason header value such as `Q.850;cause=16`. Returns nullopt if it names no Q.850 cause.
-std::optional<int> read_q850_cause(std::string_view reason);
+std::optional<int> parse_q850_cause(std::string_view reason);
 /// Parses X-Lag, the number of milliseconds after which a server with a full processor (X-Diagnosis `acc`)
 /// accepts set-ups again. Returns nullopt for any other diagnosis and for anything but a positive whole
 /// number.
-std::optional<Duration> read_retry_after(std::string_view diagnosis, std::string_view lag);
+std::optional<Duration> parse_retry_after(std::string_view diagnosis, std::string_view lag);
 /// Parses an X-Occupancy value such as `x0:12;x1:40;queue:3`; the field names of the settings are accepted
 /// too. Entries that cannot be parsed are skipped.
-LoadReport read_load_report(std::string_view text);
+LoadReport parse_load_report(std::string_view text);
 
 /// What identifies a call in a request: Call-ID, called number and CSeq number.
 struct SipCall {
--- a/src/sip/connection_pool.cpp
+++ b/src/sip/connection_pool.cpp
@@ -181,7 +181,7 @@
     // are withdrawn. They must not reach an address that the server has left either.
     for (const auto& connection : server.connections) {
       for (const auto& ref : connection->in_flight) {
-        if (connection->stream->take_back(tag(ref))) withdrawn_refs.push_back(ref);
+        if (connection->stream->take_back(attempt_tag(ref))) withdrawn_refs.push_back(ref);
       }
     }
     counters_.withdrawn += withdrawn_refs.size();
@@ -271,10 +271,10 @@
     const auto rank = [](const Connection& one) {
       return std::pair(one.is_suspected_stalled(), one.in_flight.size());
     };
-    const bool better = connection.get() == avoid || !best || rank(*connection) < rank(*best);
+    const bool is_better = connection.get() == avoid || !best || rank(*connection) < rank(*best);
     // If the server has closed the connection and this is not read yet, data written now would be answered
     // with a reset and lost.
-    if (!better || !connection->is_usable() || connection->stream->has_ended()) continue;
+    if (!is_better || !connection->is_usable() || connection->stream->has_ended()) continue;
     (connection.get() == avoid ? avoided : best) = connection;
   }
   ++server.next_connection;
@@ -295,9 +295,10 @@
 
 const ConnectionPool::Connection* ConnectionPool::recently_ended_on(const core::AttemptRef& attempt) const {
   if (attempt.attempt == 0) return nullptr;
-  for (auto one = recently_ended_.rbegin(); one != recently_ended_.rend(); ++one) {
-    if (one->call != attempt.call) continue;
-    if (const auto connection = one->connection.lock(); connection && connection->server.id == attempt.server)
+  for (auto ended = recently_ended_.rbegin(); ended != recently_ended_.rend(); ++ended) {
+    if (ended->call != attempt.call) continue;
+    if (const auto connection = ended->connection.lock();
+        connection && connection->server.id == attempt.server)
       return connection.get();
   }
   return nullptr;
@@ -325,7 +326,7 @@
   for (auto& message : unsent) {
     if (message.tag == 0) continue;
     const auto ref = std::find_if(connection.in_flight.begin(), connection.in_flight.end(),
-                                  [&](const auto& one) { return tag(one) == message.tag; });
+                                  [&](const auto& one) { return attempt_tag(one) == message.tag; });
     if (ref == connection.in_flight.end()) continue;
     const auto attempt = find_attempt(*ref);
     const auto replacement =
@@ -635,7 +636,7 @@
   if (!connection->unanswered_since) connection->unanswered_since = net::Loop::now();
   connection->stream->send(invite_head({set_up.id, set_up.number, set_up.attempt.attempt + 1}, own_name_,
                                        set_up.call_class, set_up.wait, set_up.description.size()),
-                           std::string(set_up.description), tag(set_up.attempt));
+                           std::string(set_up.description), attempt_tag(set_up.attempt));
 }
 
 bool ConnectionPool::cancel(const core::AttemptRef& attempt) {
@@ -646,7 +647,7 @@
   const std::string id = found->first.second;
   remove_attempt(found);
   if (!connection || connection->stream->is_closed()) return false;
-  if (connection->stream->take_back(tag(attempt))) {
+  if (connection->stream->take_back(attempt_tag(attempt))) {
     ++counters_.withdrawn;
     // It was never sent, so a missing answer to it says nothing about the connection.
     if (connection->in_flight.empty() && !connection->stall_suspected_at)
@@ -654,8 +655,8 @@
     return true;
   }
   recently_ended_.push_back({attempt.call, connection, net::Loop::now()});
-  if (connection->stream->is_unsent(tag(attempt)))
-    connection->partially_written = {tag(attempt), net::Loop::now()};
+  if (connection->stream->is_unsent(attempt_tag(attempt)))
+    connection->partially_written = {attempt_tag(attempt), net::Loop::now()};
   connection->stream->send(request_head("CANCEL", {id, number, attempt.attempt + 1}, own_name_));
   return false;
 }
@@ -690,13 +691,14 @@
 void ConnectionPool::check_health(ServerId id) {
   auto& server = find_or_create_server(id);
   const auto connection = pick_connection(server);
-  char text[17];
-  std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(next_health_check_id_++));
+  char id_text[17];
+  std::snprintf(id_text, sizeof id_text, "%016llx", static_cast<unsigned long long>(next_health_check_id_++));
   PendingHealthCheck health_check{id, connection, net::Loop::now(), 0};
-  health_check.timeout_timer = loop_.after(
-      kHealthCheckTimeout, [this, key = std::string(text)] { end_health_check(key, Outcome::kTimeout, {}); });
-  pending_health_checks_.emplace(text, std::move(health_check));
-  if (connection) connection->stream->send(options_head(text, own_name_));
+  health_check.timeout_timer = loop_.after(kHealthCheckTimeout, [this, key = std::string(id_text)] {
+    end_health_check(key, Outcome::kTimeout, {});
+  });
+  pending_health_checks_.emplace(id_text, std::move(health_check));
+  if (connection) connection->stream->send(options_head(id_text, own_name_));
 }
 
 void ConnectionPool::end_health_check(const std::string& id, Outcome outcome, const LoadReport& load) {
@@ -766,7 +768,7 @@
     } else if (head.method == "OPTIONS") {
       if (head.status < 200) return;
       end_health_check(std::string(head.call_id), head.status < 300 ? Outcome::kOk : Outcome::kFull,
-                       read_load_report(head.occupancy));
+                       parse_load_report(head.occupancy));
     } else if (head.method == "BYE") {
       std::erase_if(connection.pending_releases,
                     [&](const auto& release) { return release.id == head.call_id; });
@@ -775,7 +777,7 @@
   }
   if (head.method == "NOTIFY") {
     if (connection.half_closed_at) return;  // it may be outdated, and newer reports came on other connections
-    table_.on_load_report(connection.server.id, read_load_report(head.occupancy));
+    table_.on_load_report(connection.server.id, parse_load_report(head.occupancy));
   } else if (head.method == "BYE") {
     on_bye(connection, head);
   } else if (head.method != "ACK") {
@@ -853,11 +855,11 @@
   recently_ended_.push_back({ref.call, found->second.connection, net::Loop::now()});
   remove_attempt(found);
   core::AttemptEnd end;
-  end.load = read_load_report(head.occupancy);
+  end.load = parse_load_report(head.occupancy);
   switch (head.status) {
     case 503:
       end.outcome = Outcome::kFull;
-      end.retry_after = read_retry_after(head.diagnosis, head.lag);
+      end.retry_after = parse_retry_after(head.diagnosis, head.lag);
       break;
     case 480:
       end.outcome = Outcome::kNotSent;
@@ -885,12 +887,12 @@
   // whose answer was never received.
   if (connection.half_closed_at && !established) return;
   remove_attempt(found);
-  const int cause = read_q850_cause(head.reason).value_or(static_cast<int>(core::Cause::kNormal));
+  const int cause = parse_q850_cause(head.reason).value_or(static_cast<int>(core::Cause::kNormal));
   const bool is_normal = cause == static_cast<int>(core::Cause::kNormal);
   core::AttemptEnd end;
   end.outcome = is_normal && established ? Outcome::kOk : Outcome::kReset;
   end.cause = static_cast<core::Cause>(cause);
-  if (!connection.half_closed_at) end.load = read_load_report(head.occupancy);
+  if (!connection.half_closed_at) end.load = parse_load_report(head.occupancy);
   table_.on_attempt_ended(ref, end);
 }
 
--- a/src/sip/connection_pool.hpp
+++ b/src/sip/connection_pool.hpp
@@ -115,7 +115,7 @@
   [[nodiscard]] static bool is_stalled(const Connection& connection, Instant now);
   Attempts::iterator find_attempt(const core::AttemptRef& attempt);
   void remove_attempt(Attempts::iterator at);
-  static net::TcpConnection::Tag tag(const core::AttemptRef& attempt) {
+  static net::TcpConnection::Tag attempt_tag(const core::AttemptRef& attempt) {
     return (static_cast<net::TcpConnection::Tag>(attempt.call) << 8U) + attempt.attempt + 1;
   }
 
--- a/tests/net_parse_test.cpp
+++ b/tests/net_parse_test.cpp
@@ -109,11 +109,11 @@
                         {"dest:1;width:nan", false, 0, false}};
   for (const auto& one : cases) {
     CAPTURE(one.text);
-    const auto read = read_extras(one.text);
+    const auto read = parse_extras(one.text);
     REQUIRE(read.has_value() == one.is_valid);
     if (!read) continue;
     CHECK((read->destination_pool ? static_cast<int>(*read->destination_pool) : -1) == one.dest);
-    CHECK(read->is_redial == one.again);
+    CHECK(read->was_aborted == one.again);
   }
 }
 
@@ -175,7 +175,7 @@
   };
   for (const auto& one : cases) {
     CAPTURE(one.lag);
-    CHECK(read_retry_after(one.diagnosis, one.lag) == one.wait);
+    CHECK(parse_retry_after(one.diagnosis, one.lag) == one.wait);
   }
   const auto read = read_sip(
       "SIP/2.0 503 Full\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\nX-Diagnosis: acc\r\nx-lag: 1700\r\n"
@@ -185,16 +185,16 @@
 }
 
 TEST_CASE("Q.850 causes and load reports are parsed") {
-  CHECK(read_q850_cause("Q.850;cause=16") == 16);
-  CHECK(read_q850_cause("Q.850\r\n ;cause=41;text=\"x\"") == 41);
-  CHECK_FALSE(read_q850_cause("SIP;cause=200"));
-  CHECK_FALSE(read_q850_cause(""));
-  const auto report = read_load_report("idle:12;circuits:40;lat_ms:2.5;max_rate:-1;odd;x:y");
+  CHECK(parse_q850_cause("Q.850;cause=16") == 16);
+  CHECK(parse_q850_cause("Q.850\r\n ;cause=41;text=\"x\"") == 41);
+  CHECK_FALSE(parse_q850_cause("SIP;cause=200"));
+  CHECK_FALSE(parse_q850_cause(""));
+  const auto report = parse_load_report("idle:12;circuits:40;lat_ms:2.5;max_rate:-1;odd;x:y");
   CHECK(report.free_lines == 12.0);
   CHECK(report.lines == 40.0);
   CHECK(report.wait == std::chrono::microseconds{2500});
   CHECK_FALSE(report.accept_rate);
-  CHECK(read_load_report("x0:1;queue:3").waiting == 3.0);
+  CHECK(parse_load_report("x0:1;queue:3").waiting == 3.0);
 }
 
 TEST_CASE("server-sent events are parsed at every split and with every line end") {
