--- a/tests/bad_clients_test.cpp
+++ b/tests/bad_clients_test.cpp
@@ -28,9 +28,8 @@
   partial_line->stream->send("{\"msg\":\"open\",\"sid\":");
   const auto useless = bench.connect(bench.router->callers_at());
   useless->stream->send("{\"msg\":\"close\",\"sid\":\"" + kCallB + "\",\"attrs\":{},\"code\":16}\n");
-  bench.until([&] {
-    return useless->has("\"closed\",\"sid\":\"" + kCallB);
-  });  // a release of an unknown id is confirmed too
+  // A release of an unknown id is confirmed too.
+  bench.until([&] { return useless->has("\"closed\",\"sid\":\"" + kCallB); });
   bench.until([&] { return silent->closed && partial_line->closed && useless->closed; });
   CHECK(Loop::now() - connected_at < milliseconds{3000});
   CHECK(bench.router->counters().idle_closed == 3);
@@ -64,8 +63,7 @@
 
 // Guards against releases that callers do not receive: callers wait for them on the connections where they
 // opened the calls.
-TEST_CASE(
-    "connections with established calls are closed last, and releases go to connections that served calls") {
+TEST_CASE("connections with established calls are closed last, and releases go where calls were served") {
   auto config = bench_config();
   config.sockets = 32;
   Bench bench({}, config);
--- a/tests/net_parse_test.cpp
+++ b/tests/net_parse_test.cpp
@@ -299,11 +299,11 @@
   TimerWheel wheel(start);
   std::vector<int> expired;
   wheel.at(start + std::chrono::milliseconds{12}, [&] { expired.push_back(12); });
-  wheel.at(start + std::chrono::seconds{30},
-           [&] { expired.push_back(30'000); });  // more than one revolution of the wheel
+  // More than one revolution of the wheel.
+  wheel.at(start + std::chrono::seconds{30}, [&] { expired.push_back(30'000); });
   const auto cancelled = wheel.at(start + std::chrono::milliseconds{12}, [&] { expired.push_back(-1); });
-  wheel.at(start,
-           [&] { wheel.at(start, [&] { expired.push_back(0); }); });  // a timer that starts another one
+  // A timer that starts another one.
+  wheel.at(start, [&] { wheel.at(start, [&] { expired.push_back(0); }); });
   wheel.cancel(cancelled);
   wheel.advance(start + std::chrono::milliseconds{11});
   CHECK(expired == std::vector<int>{0});
--- a/tests/net_rules_test.cpp
+++ b/tests/net_rules_test.cpp
@@ -41,8 +41,8 @@
   bench.list();
   bench.say("{\"msg\":\"open\",\"sid\":\"" + kCallA + "\",\"attrs\":{\"class\":\"none\"}}\n");
   bench.until([&] { return bench.caller->has("\"code\":100"); });
-  bench.say("{\"msg\":\"close\",\"sid\":\"" + kCallB +
-            "\",\"attrs\":{},\"code\":16}\n");  // unknown id: ignored
+  // Unknown id: ignored.
+  bench.say("{\"msg\":\"close\",\"sid\":\"" + kCallB + "\",\"attrs\":{},\"code\":16}\n");
   bench.settle();
   CHECK(bench.caller->count(kCallA) == 1);
   CHECK(bench.router->counters().unknown_ids == 1);
@@ -106,7 +106,7 @@
 // Guards against set-ups sent to a full server before its X-Lag time is over, and against a server that
 // excludes itself for good by a huge value.
 TEST_CASE("a full server gets no set-up during the time it asks for, which is limited to the deadline") {
-  // A server without X-Lag is excluded for 0.2 s. It asks for 0.8 s, and for 49 days, which is limited to the
+  // The only server would be excluded for 0.2 s; it asks for 0.8 s, and for 49 days, which is limited to the
   // longest deadline.
   for (const char* lag : {"800", "4294967295"}) {
     auto config = bench_config();
@@ -170,8 +170,8 @@
   silent_peer.connect(listener.acceptor.local_endpoint());
   bench.until([&] { return !listener.ends.empty(); });
   auto& stream = *listener.ends[0]->stream;
-  // Nothing reads from `silent`: when the kernel buffers are full, one message is partly written and the next
-  // one waits.
+  // Nothing reads from `silent_peer`: when the kernel buffers are full, one message is partly written and the
+  // next one waits.
   net::TcpConnection::Tag tag = 0;
   bool was_withdrawn = false;
   while (!was_withdrawn && tag < 1000) {
