--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -1,4 +1,4 @@
-// Writes log lines with a level to standard error. A line below the current level costs one comparison.
+// Writes log lines with a level to standard error. A line that is not written costs one comparison.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 /// Levels from the most to the least severe.
 enum class Level { kError, kWarn, kInfo, kDebug };
 
-/// The current level of the process; lines above it are not written. Not synchronised.
+/// The level of the process; less severe lines are not written. Not synchronised.
 inline Level& level() {
   static Level current = Level::kInfo;
   return current;
@@ -53,7 +53,7 @@
   }
 
  private:
-  static constexpr std::uint32_t kMaxLinesPerSecond = 5;  // lines per second
+  static constexpr std::uint32_t kMaxLinesPerSecond = 5;
   std::chrono::steady_clock::time_point second_start_{};
   std::uint32_t passed_ = 0;
   std::uint64_t suppressed_ = 0;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -129,8 +129,8 @@
   std::size_t input_size_ = 0;
   std::deque<Message> output_;
   std::size_t queued_bytes_ = 0;
-  std::size_t front_written_ = 0;  ///< bytes of the first queued message that are written
-  core::TimerWheel::Handle timer_ = 0;
+  std::size_t front_written_ = 0;       ///< bytes of the first queued message that are written
+  core::TimerWheel::Handle timer_ = 0;  ///< for the connect, a failed write or lingering
   Instant used_at_{};
 };
 
