--- a/src/http2/body.cpp
+++ b/src/http2/body.cpp
@@ -19,12 +19,13 @@
 
 using valijson::adapters::RapidJsonAdapter;
 
-// In place, no deep recursion on hostile nesting, numbers read: the schemas have ranges of numbers.
-constexpr unsigned kFlags =
+// The iterative parser does not overflow the stack on deeply nested input. Numbers are parsed, not kept as
+// text, because the schemas have numeric ranges.
+constexpr unsigned kParseFlags =
     rapidjson::kParseInsituFlag | rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag;
 
-constexpr const char* kSchemas[] = {"set-up-1", "set-up-2", "answer-1", "answer-2", "problem", "versions",
-                                    "released", "cut",      "lost",     "load",     "draining"};
+constexpr const char* kSchemaNames[] = {"set-up-1", "set-up-2", "answer-1", "answer-2", "problem", "versions",
+                                        "released", "cut",      "lost",     "load",     "draining"};
 
 }  // namespace
 
@@ -36,8 +37,8 @@
     if (!record.has(i)) continue;
     writer.Key(fields[i].name.c_str(), static_cast<rapidjson::SizeType>(fields[i].name.size()));
     if (translate::is_textual(fields[i].type)) {
-      const auto text = record.text(i);
-      writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
+      const auto field_text = record.text(i);
+      writer.String(field_text.data(), static_cast<rapidjson::SizeType>(field_text.size()));
     } else {
       writer.Int64(record.number(i));
     }
@@ -46,107 +47,108 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-struct BodyReader::Parts {
+struct BodyReader::Impl {
   std::map<std::string, valijson::Schema, std::less<>> schemas;
   valijson::Validator validator{valijson::Validator::kStrongTypes};
   rapidjson::Document document;
-  std::string text;  ///< the body; the document refers to it
+  std::string text;  ///< copy of the body; strings of the document point into it
 };
 
-BodyReader::BodyReader() : parts_(std::make_unique<Parts>()) {
-  rapidjson::Document all;
-  all.Parse(kSessionSchema);
-  if (all.HasParseError()) throw std::logic_error("session.schema.json cannot be read");
-  for (const char* name : kSchemas) {
-    // The definitions with one of them on top, so that references resolve.
-    rapidjson::Document one;
-    one.CopyFrom(all, one.GetAllocator());
+BodyReader::BodyReader() : impl_(std::make_unique<Impl>()) {
+  rapidjson::Document definitions;
+  definitions.Parse(kSessionSchema);
+  if (definitions.HasParseError()) throw std::logic_error("session.schema.json is not valid JSON");
+  for (const char* name : kSchemaNames) {
+    // A copy of all definitions whose root refers to the named one, so that references between them resolve.
+    rapidjson::Document schema_document;
+    schema_document.CopyFrom(definitions, schema_document.GetAllocator());
     const std::string pointer = std::string("#/definitions/") + name;
-    one.AddMember("$ref", rapidjson::Value(pointer.c_str(), one.GetAllocator()), one.GetAllocator());
+    schema_document.AddMember("$ref", rapidjson::Value(pointer.c_str(), schema_document.GetAllocator()),
+                              schema_document.GetAllocator());
     valijson::SchemaParser parser(valijson::SchemaParser::kDraft7);
-    parser.populateSchema(RapidJsonAdapter(one), parts_->schemas[name]);
+    parser.populateSchema(RapidJsonAdapter(schema_document), impl_->schemas[name]);
   }
 }
 
 BodyReader::~BodyReader() = default;
 
-bool BodyReader::parse(std::span<char> body, const char* schema, std::string& fault) {
-  // A zero byte would end the text early and hide what follows.
+bool BodyReader::parse(std::span<char> body, const char* schema_name, std::string& fault) {
+  // The parser takes a zero byte for the end of the text and would ignore what follows.
   if (std::find(body.begin(), body.end(), '\0') != body.end()) {
     fault = "holds a zero byte";
     return false;
   }
-  parts_->text.assign(body.begin(), body.end());
-  parts_->document = rapidjson::Document();
-  if (!settings::parse_in_place<kFlags>(parts_->text, parts_->document)) {
+  impl_->text.assign(body.begin(), body.end());
+  impl_->document = rapidjson::Document();
+  if (!settings::parse_in_place<kParseFlags>(impl_->text, impl_->document)) {
     fault = "is not JSON";
     return false;
   }
   valijson::ValidationResults results;
-  const RapidJsonAdapter adapter(parts_->document);
-  if (parts_->validator.validate(parts_->schemas.find(schema)->second, adapter, &results)) return true;
-  // The last error is the innermost.
+  const RapidJsonAdapter adapter(impl_->document);
+  if (impl_->validator.validate(impl_->schemas.find(schema_name)->second, adapter, &results)) return true;
+  // The last error is the one of the innermost value.
   valijson::ValidationResults::Error error;
   fault.clear();
   while (results.popError(error)) {
     fault.clear();
-    for (const auto& part : error.context) fault += part;
+    for (const auto& segment : error.context) fault += segment;
     fault += ": " + error.description;
   }
   return false;
 }
 
-bool BodyReader::record(const std::vector<translate::FieldSpec>& fields, translate::Record& to,
-                        std::string& fault) {
-  to.clear();
+bool BodyReader::read_record(const std::vector<translate::FieldSpec>& fields, translate::Record& target,
+                             std::string& fault) {
+  target.clear();
   for (std::size_t i = 0; i < fields.size(); ++i) {
-    const auto found = parts_->document.FindMember(fields[i].name.c_str());
-    if (found == parts_->document.MemberEnd()) continue;
+    const auto found = impl_->document.FindMember(fields[i].name.c_str());
+    if (found == impl_->document.MemberEnd()) continue;
     if (found->value.IsString()) {
       if (settings::has_lone_surrogate(settings::text_of(found->value))) {
-        fault = fields[i].name + ": is no text";
+        fault = fields[i].name + ": is not valid Unicode: it has an unpaired surrogate";
         return false;
       }
-      to.set(i, std::string_view(found->value.GetString(), found->value.GetStringLength()));
+      target.set(i, std::string_view(found->value.GetString(), found->value.GetStringLength()));
     } else if (found->value.IsInt64()) {
-      to.set(i, found->value.GetInt64());
+      target.set(i, found->value.GetInt64());
     } else {
-      fault = fields[i].name + ": is of no type that is known";
+      fault = fields[i].name + ": is neither a string nor a 64-bit integer";
       return false;
     }
   }
-  // Lengths are of bytes here and of characters in the schema: both have to hold.
-  if (const auto bad = translate::fault_in(fields, to)) {
-    fault = fields[*bad].name + ": is not as it may be";
+  // A field's length limit counts bytes here and characters in the schema; the body has to meet both.
+  if (const auto invalid_field = translate::fault_in(fields, target)) {
+    fault = fields[*invalid_field].name + ": is missing, or its value is not allowed for this field";
     return false;
   }
   return true;
 }
 
-bool BodyReader::read_set_up(std::uint32_t version, std::span<char> body, translate::Record& to,
+bool BodyReader::read_set_up(std::uint32_t version, std::span<char> body, translate::Record& target,
                              std::string& fault) {
   const auto& dialect = *translate::find_dialect(version == 1 ? "session-1" : "session-2");
   return parse(body, version == 1 ? "set-up-1" : "set-up-2", fault) &&
-         record(dialect.of(translate::Kind::kSetUp), to, fault);
+         read_record(dialect.of(translate::Kind::kSetUp), target, fault);
 }
 
-bool BodyReader::read_answer(std::uint32_t version, std::span<char> body, translate::Record& to,
+bool BodyReader::read_answer(std::uint32_t version, std::span<char> body, translate::Record& target,
                              std::string& fault) {
   const auto& dialect = *translate::find_dialect(version == 1 ? "session-1" : "session-2");
   return parse(body, version == 1 ? "answer-1" : "answer-2", fault) &&
-         record(dialect.of(translate::Kind::kAnswer), to, fault);
+         read_record(dialect.of(translate::Kind::kAnswer), target, fault);
 }
 
 std::optional<Problem> BodyReader::read_problem(std::span<char> body, std::string& fault) {
   if (!parse(body, "problem", fault)) return std::nullopt;
   Problem problem;
-  const auto text = [this](const char* name) {
-    const auto found = parts_->document.FindMember(name);
-    if (found == parts_->document.MemberEnd()) return std::string();
+  const auto member_text = [this](const char* name) {
+    const auto found = impl_->document.FindMember(name);
+    if (found == impl_->document.MemberEnd()) return std::string();
     return std::string(found->value.GetString(), found->value.GetStringLength());
   };
-  problem.type = text("type");
-  problem.field = text("field");
+  problem.type = member_text("type");
+  problem.field = member_text("field");
   while (!problem.type.empty() && problem.type.back() == '/') problem.type.pop_back();
   if (const auto slash = problem.type.find_last_of("/:#"); slash != std::string::npos) {
     problem.type.erase(0, slash + 1);
@@ -156,14 +158,14 @@
 
 std::optional<VersionsBody> BodyReader::read_versions(std::span<char> body, std::string& fault) {
   if (!parse(body, "versions", fault)) return std::nullopt;
-  VersionsBody read;
-  for (const auto& one : parts_->document["versions"].GetArray()) {
-    if (one.IsUint()) read.versions.push_back(one.GetUint());
+  VersionsBody result;
+  for (const auto& version : impl_->document["versions"].GetArray()) {
+    if (version.IsUint()) result.versions.push_back(version.GetUint());
   }
-  if (const auto found = parts_->document.FindMember("process"); found != parts_->document.MemberEnd()) {
-    read.process = found->value.GetString();
+  if (const auto found = impl_->document.FindMember("process"); found != impl_->document.MemberEnd()) {
+    result.process = found->value.GetString();
   }
-  return read;
+  return result;
 }
 
 std::optional<SessionEvent> BodyReader::read_event(std::string_view name, std::span<char> data,
@@ -173,12 +175,12 @@
   event.kind = name == "released"   ? Kind::kReleased
                : name == "cut"      ? Kind::kAborted
                : name == "load"     ? Kind::kLoad
-               : name == "lost"     ? Kind::kLost
+               : name == "lost"     ? Kind::kEventsLost
                : name == "draining" ? Kind::kDraining
                                     : Kind::kUnknown;
   if (event.kind == Kind::kUnknown) return event;
   if (!parse(data, std::string(name).c_str(), fault)) return std::nullopt;
-  const auto& document = parts_->document;
+  const auto& document = impl_->document;
   switch (event.kind) {
     case Kind::kReleased:
       event.cause = document["cause"].GetInt();
@@ -187,8 +189,8 @@
     case Kind::kAborted:
       event.id = document["id"].GetString();
       break;
-    case Kind::kLost:
-      event.before = document["before"].GetUint64();
+    case Kind::kEventsLost:
+      event.lost_before = document["before"].GetUint64();
       break;
     case Kind::kLoad:
       for (const auto& item : document.GetObject()) {
--- a/src/http2/connection.hpp
+++ b/src/http2/connection.hpp
@@ -1,5 +1,5 @@
-// One HTTP/2 connection to a session server (RFC 9113), cleartext with prior knowledge, on nghttp2. It knows
-// requests and answers, and nothing of sessions.
+// One client connection over HTTP/2 (RFC 9113) to a session server, in cleartext with prior knowledge, built
+// on nghttp2. Sends requests and returns responses; has no knowledge of sessions.
 #pragma once
 
 #include <nghttp2/nghttp2.h>
@@ -16,14 +16,16 @@
 
 namespace amberknot::http2 {
 
+/// A request without its :scheme and :authority, which the connection adds.
 struct Request {
   std::string method;
   std::string path;
-  std::vector<std::pair<std::string, std::string>> headers = {};  ///< names in small letters
+  std::vector<std::pair<std::string, std::string>> headers = {};  ///< names in lower case
   std::string body = {};
-  bool streamed = false;  ///< the answer's body does not end, and is handed over as it comes
+  bool streamed = false;  ///< the response body is endless and is passed on chunk by chunk
 };
 
+/// The parts of a response that the session API uses. A header field that is missing is an empty string.
 struct Response {
   int status = 0;
   std::string content_type;
@@ -31,139 +33,151 @@
   std::string body;
 };
 
-/// How a request ended without a whole answer, and what that proves.
+/// How a request ended without a complete response, and whether the server may have processed it.
 enum class Failure : std::uint8_t {
-  kNeverRan,  ///< refused, above the last stream of a GOAWAY, or never written: it may go elsewhere
-  kCalm,      ///< ENHANCE_YOUR_CALM: as too many requests, and proves nothing
-  kReset,     ///< any other reset, or the connection was lost: it may have run
-  kTooLarge,  ///< its head or body is larger than is believed: it may have run
+  kNotProcessed,     ///< refused, above the last stream of a GOAWAY, or never written: safe to send elsewhere
+  kEnhanceYourCalm,  ///< reset with ENHANCE_YOUR_CALM for too many requests; it may have been processed
+  kReset,            ///< any other stream reset, or the connection was lost; it may have been processed
+  kTooLarge,         ///< the response's head or body exceeds its limit; the request may have been processed
 };
 
+/// Owned by a shared_ptr. All methods are called on the thread of the event loop.
 class Connection : public net::TcpConnection::Owner, public std::enable_shared_from_this<Connection> {
  public:
-  /// A request by the owner's own number; never used twice on one connection.
-  using Key = std::uint64_t;
+  /// Identifies a request. The owner chooses it and never uses it twice on one connection.
+  using RequestKey = std::uint64_t;
 
-  /// Nothing of it is called from inside a method of the connection, but for close() none at all.
+  /// Receives the events of a connection. No method is called after close(). Only fail() may call methods
+  /// before it returns; the other methods of the connection never do.
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// The other side's SETTINGS are there: requests may go.
+    /// The server's SETTINGS have arrived; requests can be sent.
     virtual void on_up(Connection& connection) = 0;
-    virtual void on_response(Connection& connection, Key key, Response& response) = 0;
-    virtual void on_failure(Connection& connection, Key key, Failure failure) = 0;
-    /// Of a streamed request: its status (first, with an empty chunk) and what comes of its body. False: it
-    /// is ended.
-    virtual bool on_chunk(Connection& connection, Key key, int status, std::string_view chunk) = 0;
-    /// There may be room for more: a request ended, a bound was raised, what was blocked has left, it answers
-    /// again.
-    virtual void on_room(Connection& connection) = 0;
-    /// A PING is unanswered, or answered again.
-    virtual void on_health(Connection& connection, bool healthy) = 0;
-    /// GOAWAY: nothing new goes here, and what is below its last stream may finish.
+    /// A response has arrived completely. The request has ended.
+    virtual void on_response(Connection& connection, RequestKey key, Response& response) = 0;
+    /// The request ended without a complete response.
+    virtual void on_failure(Connection& connection, RequestKey key, Failure failure) = 0;
+    /// Reports the status of a streamed request, with an empty chunk, and then each chunk of its body.
+    /// Returns false to cancel the request.
+    virtual bool on_chunk(Connection& connection, RequestKey key, int status, std::string_view chunk) = 0;
+    /// Another request can be sent: a request ended, the server raised its stream limit, blocked output was
+    /// written, or the server answers PINGs again.
+    virtual void on_capacity(Connection& connection) = 0;
+    /// A PING was not answered within the ping timeout, or a late answer arrived.
+    virtual void on_health_changed(Connection& connection, bool healthy) = 0;
+    /// The server sent GOAWAY: no new request is accepted, and those up to its last stream may finish.
     virtual void on_going_away(Connection& connection) = 0;
-    /// All that was out has been told as failed before.
-    virtual void on_down(Connection& connection, net::CloseReason why) = 0;
+    /// The connection is lost. on_failure() has been called for every outstanding request before.
+    virtual void on_down(Connection& connection, net::CloseReason reason) = 0;
   };
 
   struct Limits {
-    std::size_t streams = 64;             ///< requests out at a time, whatever the server allows
-    std::size_t head = 8 * 1024;          ///< bytes of an answer's head, names included
-    std::size_t body = net::kMaxMessage;  ///< of its body
-    Duration connect = std::chrono::milliseconds{500};  ///< for the connection and for its SETTINGS
-    Duration ping_every = std::chrono::seconds{1};      ///< while it is open
-    Duration ping_patience =
-        std::chrono::seconds{2};  ///< then it is in doubt, and closed after as much again
+    std::size_t max_streams = 64;                  ///< outstanding requests, even if the server allows more
+    std::size_t max_head_size = 8 * 1024;          ///< bytes of a response's header fields, with their names
+    std::size_t max_body_size = net::kMaxMessage;  ///< bytes of a response's body
+    /// Until the connection is established, and until the server's SETTINGS have arrived.
+    Duration connect_timeout = std::chrono::milliseconds{500};
+    /// Between the PINGs of an open connection.
+    Duration ping_interval = std::chrono::seconds{1};
+    /// Until an unanswered PING makes the connection unhealthy; after twice this it is closed.
+    Duration ping_timeout = std::chrono::seconds{2};
   };
 
   Connection(net::Loop& loop, Handler& handler, Limits limits);
   ~Connection() override;
 
-  void connect(const asio::ip::tcp::endpoint& to);
-  /// Whether a request would be written at once. Requests that have to wait are the owner's to keep: what was
-  /// handed over here cannot be taken back.
-  [[nodiscard]] bool has_room() const;
-  /// False: there is no room, and nothing was done.
-  bool request(Key key, const Request& request);
-  /// RST_STREAM with CANCEL; nothing more is told of it. An answer that crosses it is dropped.
-  void cancel(Key key);
-  /// Whether the request's first byte has left.
-  [[nodiscard]] bool has_left(Key key) const;
-  /// Closed without a word to the handler; what is out is forgotten.
+  /// Starts connecting. on_up() or on_down() follows.
+  void connect(const asio::ip::tcp::endpoint& remote);
+  /// Whether a request would be written at once. The owner has to keep requests that wait, because a request
+  /// handed to the connection cannot be withdrawn from its output.
+  [[nodiscard]] bool has_capacity() const;
+  /// Sends a request. Returns false, and sends nothing, if there is no capacity, the key is in use or nghttp2
+  /// accepts no further request.
+  bool request(RequestKey key, const Request& request);
+  /// Resets the request's stream with CANCEL. The handler gets no more events for it; a response that crosses
+  /// the reset is dropped.
+  void cancel(RequestKey key);
+  /// Whether the first byte of the request has been written.
+  [[nodiscard]] bool has_started_writing(RequestKey key) const;
+  /// Closes without calling the handler, and drops all outstanding requests.
   void close();
-  /// Closed as if the other side had: the handler is told all.
-  void fail(net::CloseReason why) { stream_->fail(why); }
+  /// Closes as if the server had: the handler gets a failure for each outstanding request, then on_down().
+  void fail(net::CloseReason reason) { tcp_->fail(reason); }
 
-  [[nodiscard]] bool is_up() const { return up_ && !stream_->is_closed(); }
-  [[nodiscard]] bool is_closed() const { return stream_->is_closed(); }
+  [[nodiscard]] bool is_up() const { return up_ && !tcp_->is_closed(); }
+  [[nodiscard]] bool is_closed() const { return tcp_->is_closed(); }
   [[nodiscard]] bool is_going_away() const { return going_away_; }
   [[nodiscard]] bool is_healthy() const { return healthy_; }
-  [[nodiscard]] std::size_t out() const { return by_key_.size(); }
-  [[nodiscard]] bool is_blocked() const { return stream_->queued() > 0; }
+  [[nodiscard]] std::size_t outstanding_requests() const { return exchanges_by_key_.size(); }
+  /// Whether output waits to be written to the socket.
+  [[nodiscard]] bool is_blocked() const { return tcp_->queued() > 0; }
 
  private:
+  /// A request and its response, on one HTTP/2 stream.
   struct Exchange {
-    Key key = 0;
-    std::int32_t id = 0;
+    RequestKey key = 0;
+    std::int32_t stream_id = 0;
     Response response;
     std::string request_body;
-    std::size_t sent = 0;  ///< of the request's body
-    std::size_t head = 0;
+    std::size_t body_bytes_sent = 0;
+    std::size_t head_size = 0;  ///< of the response, in bytes
     bool streamed = false;
-    bool whole = false;  ///< its last frame has come
+    bool complete = false;  ///< the last frame of the response has arrived
     bool too_large = false;
-    bool cancelled = false;  ///< by the owner: nothing is told
+    bool cancelled = false;  ///< by the owner: the handler gets no more events for it
   };
-  struct Free {
+  struct SessionDeleter {
     void operator()(nghttp2_session* session) const { nghttp2_session_del(session); }
   };
-  /// What happened inside nghttp2, told to the handler once it has returned.
-  struct News {
-    enum class What { kUp, kResponse, kFailure, kChunk, kRoom, kHealth, kGoingAway, kDown } what;
-    Key key = 0;
+  /// An event that occurred inside an nghttp2 call. The handler gets it after that call has returned.
+  struct PendingEvent {
+    enum class Kind { kUp, kResponse, kFailure, kChunk, kCapacity, kHealthChanged, kGoingAway, kDown } kind;
+    RequestKey key = 0;
     Response response = {};
     Failure failure = Failure::kReset;
     int status = 0;
     std::string chunk = {};
     bool healthy = true;
-    net::CloseReason why = net::CloseReason::kEnded;
+    net::CloseReason reason = net::CloseReason::kEnded;
   };
 
-  void on_open(net::TcpConnection& stream) override;
-  std::size_t on_bytes(net::TcpConnection& stream, std::span<char> bytes) override;
-  void on_drained(net::TcpConnection& stream) override;
-  void on_closed(net::TcpConnection& stream, net::CloseReason why) override;
-
-  void pump(net::TcpConnection::Tag tag = 0);
-  void tell();
-  void ping();
-  void watch();
-  Exchange* find(std::int32_t id);
-  static int frame_received(nghttp2_session*, const nghttp2_frame* frame, void* self);
-  static int header_received(nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name,
-                             std::size_t name_size, const std::uint8_t* value, std::size_t value_size,
-                             std::uint8_t, void* self);
-  static int data_received(nghttp2_session*, std::uint8_t, std::int32_t id, const std::uint8_t* data,
+  void on_open(net::TcpConnection& tcp) override;
+  std::size_t on_bytes(net::TcpConnection& tcp, std::span<char> bytes) override;
+  void on_drained(net::TcpConnection& tcp) override;
+  void on_closed(net::TcpConnection& tcp, net::CloseReason reason) override;
+
+  void flush_output(net::TcpConnection::Tag tag = 0);
+  void dispatch_events();
+  void check_ping();
+  void start_timer();
+  Exchange* find_exchange(std::int32_t stream_id);
+  static int on_frame(nghttp2_session*, const nghttp2_frame* frame, void* self);
+  static int on_header(nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name,
+                       std::size_t name_size, const std::uint8_t* value, std::size_t value_size, std::uint8_t,
+                       void* self);
+  static int on_data_chunk(nghttp2_session*, std::uint8_t, std::int32_t stream_id, const std::uint8_t* data,
                            std::size_t size, void* self);
-  static int stream_closed(nghttp2_session*, std::int32_t id, std::uint32_t code, void* self);
-  static ssize_t read_body(nghttp2_session*, std::int32_t id, std::uint8_t* to, std::size_t size,
-                           std::uint32_t* flags, nghttp2_data_source* source, void* self);
+  static int on_stream_closed(nghttp2_session*, std::int32_t stream_id, std::uint32_t code, void* self);
+  static ssize_t read_request_body(nghttp2_session*, std::int32_t stream_id, std::uint8_t* buffer,
+                                   std::size_t size, std::uint32_t* flags, nghttp2_data_source* source,
+                                   void* self);
 
   net::Loop& loop_;
   Handler& handler_;
   Limits limits_;
-  std::shared_ptr<net::TcpConnection> stream_;
-  std::unique_ptr<nghttp2_session, Free> session_;
-  std::unordered_map<std::int32_t, std::unique_ptr<Exchange>> by_id_;
-  std::unordered_map<Key, Exchange*> by_key_;
-  std::vector<News> news_;
-  bool telling_ = false;
+  std::shared_ptr<net::TcpConnection> tcp_;
+  std::unique_ptr<nghttp2_session, SessionDeleter> session_;
+  std::unordered_map<std::int32_t, std::unique_ptr<Exchange>> exchanges_by_stream_;
+  std::unordered_map<RequestKey, Exchange*> exchanges_by_key_;
+  std::vector<PendingEvent> pending_events_;
+  bool dispatching_ = false;
   bool up_ = false;
   bool going_away_ = false;
   bool healthy_ = true;
-  bool ping_out_ = false;
-  Instant ping_sent_{};
-  Instant connected_{};
+  bool ping_outstanding_ = false;
+  Instant ping_sent_at_{};
+  Instant connect_started_at_{};
   core::TimerWheel::Handle timer_ = 0;
 };
 
--- a/src/http2/connection_pool.cpp
+++ b/src/http2/connection_pool.cpp
@@ -17,125 +17,132 @@
 using translate::Kind;
 using translate::Meaning;
 
-constexpr std::size_t kWarmConnections = 2;
-constexpr std::size_t kMaxConnections = 4;
-constexpr Duration kMinBackoff = milliseconds{100};
-constexpr Duration kMaxBackoff = seconds{1};
-// What was never taken goes by another connection of its server so many times, then it is the module's.
-constexpr int kMaxMoved = 3;
-// A release is told so many times; its server may hold what nobody can release.
+// Connections kept open to each server, and the most it gets when set-ups wait.
+constexpr std::size_t kMinConnectionsPerServer = 2;
+constexpr std::size_t kMaxConnectionsPerServer = 4;
+constexpr Duration kMinReconnectBackoff = milliseconds{100};
+constexpr Duration kMaxReconnectBackoff = seconds{1};
+// How often a set-up that was not processed may be sent on another connection of its server, before the
+// decision module gets it back.
+constexpr int kMaxMoves = 3;
+// Tries per release. They are limited because a server may hold a session that nobody can release.
 constexpr int kMaxReleaseTries = 20;
-constexpr Duration kReleaseAgain = milliseconds{300};
-// After "enhance your calm" on a connection nothing new is sent to that server for so long.
-constexpr Duration kCalm = seconds{1};
-// A set-up that was handed over and not written, while its server drains, for so long: the connection is
-// given up.
-constexpr Duration kBlockedDrain = milliseconds{400};
-// Sessions are asked for one by one once events were lost: 50 a second.
-constexpr Duration kCheckEvery = milliseconds{20};
-constexpr Duration kEventsAgain = milliseconds{100};
-
-core::AttemptEnd end_of(Outcome outcome, core::Cause cause = core::Cause::kTemporaryFailure) {
-  core::AttemptEnd end;
-  end.outcome = outcome;
-  end.cause = cause;
-  return end;
-}
-
-core::AttemptEnd error_of(const core::ErrorMeaning& meaning,
-                          std::optional<Duration> retry_after = std::nullopt) {
-  auto end = end_of(Outcome::kError);
-  end.error = meaning;
-  end.retry_after = retry_after;
-  return end;
+constexpr Duration kReleaseRetryInterval = milliseconds{300};
+// No set-up or release is sent to a server for this long after it reset a stream with ENHANCE_YOUR_CALM.
+constexpr Duration kCalmPause = seconds{1};
+// A connection to a draining server is closed if its output is still blocked after this time, because the
+// output may hold set-ups.
+constexpr Duration kBlockedDrainTimeout = milliseconds{400};
+// After events were lost, the sessions of the server are checked one by one, 50 a second.
+constexpr Duration kSessionCheckInterval = milliseconds{20};
+constexpr Duration kEventStreamRetryInterval = milliseconds{100};
+
+core::AttemptEnd make_end(Outcome outcome, core::Cause cause = core::Cause::kTemporaryFailure) {
+  core::AttemptEnd result;
+  result.outcome = outcome;
+  result.cause = cause;
+  return result;
+}
+
+core::AttemptEnd make_error(const core::ErrorMeaning& meaning,
+                            std::optional<Duration> retry_after = std::nullopt) {
+  auto result = make_end(Outcome::kError);
+  result.error = meaning;
+  result.retry_after = retry_after;
+  return result;
 }
 
 }  // namespace
 
-struct ConnectionPool::Conn : Connection::Handler {
-  Conn(ConnectionPool& all, Server& server, std::uint64_t number)
-      : all(all), server(server), number(number) {}
-  void on_up(Connection& /*c*/) override { all.on_up(*this); }
-  void on_response(Connection& /*c*/, Key key, Response& response) override {
-    all.on_response(*this, key, response);
+/// One connection of the pool; passes its events on to the pool.
+struct ConnectionPool::PooledConnection : Connection::Handler {
+  PooledConnection(ConnectionPool& pool, Server& server, std::uint64_t number)
+      : pool(pool), server(server), number(number) {}
+  void on_up(Connection& /*c*/) override { pool.on_up(*this); }
+  void on_response(Connection& /*c*/, RequestKey key, Response& response) override {
+    pool.on_response(*this, key, response);
   }
-  void on_failure(Connection& /*c*/, Key key, Failure failure) override {
-    all.on_failure(*this, key, failure);
+  void on_failure(Connection& /*c*/, RequestKey key, Failure failure) override {
+    pool.on_failure(*this, key, failure);
   }
-  bool on_chunk(Connection& /*c*/, Key key, int status, std::string_view chunk) override {
-    return all.on_chunk(*this, key, status, chunk);
+  bool on_chunk(Connection& /*c*/, RequestKey key, int status, std::string_view chunk) override {
+    return pool.on_chunk(*this, key, status, chunk);
   }
-  void on_room(Connection& /*c*/) override;
-  void on_health(Connection& /*c*/, bool /*healthy*/) override;
+  void on_capacity(Connection& /*c*/) override;
+  void on_health_changed(Connection& /*c*/, bool /*healthy*/) override;
   void on_going_away(Connection& /*c*/) override;
-  void on_down(Connection& /*c*/, net::CloseReason why) override { all.on_down(*this, why); }
+  void on_down(Connection& /*c*/, net::CloseReason reason) override { pool.on_down(*this, reason); }
 
-  ConnectionPool& all;
+  ConnectionPool& pool;
   Server& server;
-  std::uint64_t number;
+  std::uint64_t number;  // unique in the pool
   std::shared_ptr<Connection> connection;
-  Instant up{};
+  Instant up_since{};  // zero until the connection is up
 };
 
+/// The pool's state for one server.
 struct ConnectionPool::Server {
   explicit Server(ServerId id) : id(id) {}
   ServerId id;
   std::string name;
   std::string address;
-  std::int64_t started = 0;
-  bool wanted = false;
-  bool ready = false;     // by the list
-  bool draining = false;  // by its own word
-  bool told_serving = false;
-  std::string process;
-  std::vector<std::shared_ptr<Conn>> connections;
-  std::deque<CallId> waiting;  // set-ups that have not left
-  std::map<std::string, Release> releases;
-  Instant calm_until{};
-  core::TimerWheel::Handle retry = 0;
-  core::TimerWheel::Handle calm = 0;
-  core::TimerWheel::Handle release_timer = 0;
-  Duration backoff = kMinBackoff;
-  // The stream of events.
-  Key events = 0;  // zero: none is read
-  core::TimerWheel::Handle events_timer = 0;
-  std::uint64_t last_event = 0;
-  bool resumable = false;
-  settings::SseReader reader{net::kMaxMessage};
-  std::deque<std::string> to_check;
+  std::int64_t started_unix_ms = 0;
+  bool listed = false;    // in the endpoint list and not removed
+  bool ready = false;     // by the endpoint list
+  bool draining = false;  // by the server's own draining event
+  bool reported_serving = false;
+  std::string process_name;
+  std::vector<std::shared_ptr<PooledConnection>> connections;
+  std::deque<CallId> waiting_set_ups;  // calls whose set-up has not been sent, oldest first
+  std::map<std::string, PendingRelease> pending_releases;
+  Instant paused_until{};  // no set-ups or releases before this, after ENHANCE_YOUR_CALM
+  core::TimerWheel::Handle reconnect_timer = 0;
+  core::TimerWheel::Handle pause_timer = 0;
+  core::TimerWheel::Handle release_retry_timer = 0;
+  Duration reconnect_backoff = kMinReconnectBackoff;
+  // Event stream.
+  RequestKey event_stream_key = 0;  // zero if no stream is open
+  core::TimerWheel::Handle event_stream_timer = 0;
+  std::uint64_t last_event_id = 0;
+  bool has_last_event_id = false;
+  settings::SseReader sse_reader{net::kMaxMessage};
+  std::deque<std::string> sessions_to_check;
   core::TimerWheel::Handle check_timer = 0;
 };
 
-void ConnectionPool::Conn::on_room(Connection& /*c*/) {
-  all.pump(server);
+void ConnectionPool::PooledConnection::on_capacity(Connection& /*c*/) {
+  pool.send_waiting(server);
 }
-void ConnectionPool::Conn::on_health(Connection& /*c*/, bool healthy) {
-  net::log::info(all.log_link_, "session api: ", server.name,
-                 healthy ? " answers its ping again" : " leaves a ping unanswered");
-  all.pump(server);
+void ConnectionPool::PooledConnection::on_health_changed(Connection& /*c*/, bool healthy) {
+  net::log::info(pool.connection_log_, "session api: ", server.name,
+                 healthy ? " answers PING again; new requests are sent on this connection"
+                         : " did not answer a PING in time; no new requests are sent on this connection");
+  pool.send_waiting(server);
 }
-void ConnectionPool::Conn::on_going_away(Connection& /*c*/) {
-  // Another one is made at once, so that the next set-up does not wait for it.
-  all.keep_warm(server);
-  if (all.out_.contains(server.events)) all.again_events(server);
+void ConnectionPool::PooledConnection::on_going_away(Connection& /*c*/) {
+  // Opens a replacement at once, so that the next set-up does not have to wait for a connection.
+  pool.maintain_connections(server);
+  if (pool.outstanding_.contains(server.event_stream_key)) pool.reopen_event_stream(server);
 }
 
-ConnectionPool::ConnectionPool(net::Loop& loop, core::CallTable& table, core::EndpointRegistry& servers,
-                               core::Counters& counters, const net::ResourceLimits& bounds,
-                               const translate::Translator& translator, Duration connect_limit,
-                               Duration max_stay_away, Configured configured, OnChange on_change)
+ConnectionPool::ConnectionPool(net::Loop& loop, core::CallTable& call_table,
+                               core::EndpointRegistry& endpoints, core::Counters& counters,
+                               const net::ResourceLimits& resource_limits,
+                               const translate::Translator& translator, Duration connect_timeout,
+                               Duration max_retry_after, ConfiguredVersion configured_version,
+                               OnChange on_change)
     : loop_(loop),
-      table_(table),
-      servers_(servers),
+      call_table_(call_table),
+      endpoints_(endpoints),
       counters_(counters),
-      bounds_(bounds),
+      resource_limits_(resource_limits),
       translator_(translator),
-      connect_limit_(connect_limit),
-      max_stay_away_(max_stay_away),
-      configured_(std::move(configured)),
+      connect_timeout_(connect_timeout),
+      max_retry_after_(max_retry_after),
+      configured_version_(std::move(configured_version)),
       on_change_(std::move(on_change)),
       versions_({}, [&translator] {
-        // Only the session API's versions can be learned.
+        // Only versions of the session API can be learned by asking the server.
         std::vector<std::uint32_t> ranks;
         for (std::size_t i = 0; i < translator.servers(); ++i) {
           const auto& dialect = translator.server(static_cast<DialectNo>(i));
@@ -145,121 +152,123 @@
       }()) {}
 
 ConnectionPool::~ConnectionPool() {
-  loop_.wheel.cancel(look_);
-  for (auto& [id, server] : by_id_) {
-    stop_timers(*server);
-    for (auto& conn : server->connections) conn->connection->close();
+  loop_.wheel.cancel(version_timer_);
+  for (auto& [id, server] : servers_by_id_) {
+    cancel_timers(*server);
+    for (auto& pooled : server->connections) pooled->connection->close();
   }
 }
 
-void ConnectionPool::stop_timers(const Server& server) {
-  for (const auto timer :
-       {server.retry, server.calm, server.release_timer, server.events_timer, server.check_timer}) {
+void ConnectionPool::cancel_timers(const Server& server) {
+  for (const auto timer : {server.reconnect_timer, server.pause_timer, server.release_retry_timer,
+                           server.event_stream_timer, server.check_timer}) {
     loop_.wheel.cancel(timer);
   }
 }
 
-ConnectionPool::Server& ConnectionPool::of(ServerId id) {
-  auto& server = by_id_[id];
+ConnectionPool::Server& ConnectionPool::find_or_add_server(ServerId id) {
+  auto& server = servers_by_id_[id];
   if (!server) server = std::make_unique<Server>(id);
   return *server;
 }
 
-// ---- the list -------------------------------------------------------------------------------------------
-
-void ConnectionPool::on_endpoint_changed(const core::Endpoint& listed) {
-  auto& server = of(listed.id);
-  server.name = listed.name;
-  const bool moved = !server.address.empty() && server.address != listed.address;
-  const bool anew = listed.started_unix_ms > server.started;
-  server.address = listed.address;
-  server.started = listed.started_unix_ms;
-  server.ready = listed.state == EndpointState::kReady;
-  server.wanted = listed.state != EndpointState::kRemoved;
-  if (anew) server.draining = false;
-  // The drain rule binds at the write: what has not left does not leave.
-  if (!server.ready) take_back(server);
-  if (!server.wanted || moved) {
-    const auto gone = std::exchange(server.connections, {});
-    connections_ -= gone.size();
-    server.events = 0;
-    for (const auto& conn : gone) {
-      // The handler would find its server changed already: what was out is told here.
-      std::vector<core::AttemptRef> lost;
+// ---- endpoint list --------------------------------------------------------------------------------------
+
+void ConnectionPool::on_endpoint_changed(const core::Endpoint& endpoint) {
+  auto& server = find_or_add_server(endpoint.id);
+  server.name = endpoint.name;
+  const bool address_changed = !server.address.empty() && server.address != endpoint.address;
+  const bool restarted = endpoint.started_unix_ms > server.started_unix_ms;
+  server.address = endpoint.address;
+  server.started_unix_ms = endpoint.started_unix_ms;
+  server.ready = endpoint.state == EndpointState::kReady;
+  server.listed = endpoint.state != EndpointState::kRemoved;
+  if (restarted) server.draining = false;
+  // A server that drains gets no more set-ups, including those that were accepted but not written.
+  if (!server.ready) withdraw_set_ups(server);
+  if (!server.listed || address_changed) {
+    const auto removed = std::exchange(server.connections, {});
+    connection_count_ -= removed.size();
+    server.event_stream_key = 0;
+    for (const auto& pooled : removed) {
+      // The server's state has changed already, so the outstanding attempts are ended here and not by the
+      // connection's handler.
+      std::vector<core::AttemptRef> lost_attempts;
       for (const auto& [call, attempt] : attempts_) {
-        if (attempt.conn == conn.get()) lost.push_back(attempt.ref);
+        if (attempt.pooled == pooled.get()) lost_attempts.push_back(attempt.ref);
       }
-      conn->connection->close();
-      forget_out(server, *conn);
-      std::sort(lost.begin(), lost.end(), [](const auto& a, const auto& b) { return a.call < b.call; });
-      for (const auto& ref : lost) end(ref, end_of(Outcome::kReset));
+      pooled->connection->close();
+      forget_outstanding(server, *pooled);
+      std::sort(lost_attempts.begin(), lost_attempts.end(),
+                [](const auto& a, const auto& b) { return a.call < b.call; });
+      for (const auto& ref : lost_attempts) end_attempt(ref, make_end(Outcome::kReset));
     }
   }
-  if (!server.wanted) {
-    server.releases.clear();
-    server.to_check.clear();
-    loop_.wheel.cancel(std::exchange(server.retry, 0));
+  if (!server.listed) {
+    server.pending_releases.clear();
+    server.sessions_to_check.clear();
+    loop_.wheel.cancel(std::exchange(server.reconnect_timer, 0));
     versions_.gone(server.id);
     return;
   }
   translate::Versions::Actions actions;
-  versions_.listed(net::Loop::now(), server.id, server.address, server.started, configured_(server.name),
-                   actions);
-  apply(std::move(actions));
-  keep_warm(server);
+  versions_.listed(net::Loop::now(), server.id, server.address, server.started_unix_ms,
+                   configured_version_(server.name), actions);
+  apply_version_actions(std::move(actions));
+  maintain_connections(server);
 }
 
 void ConnectionPool::forget_server(ServerId id) {
-  const auto found = by_id_.find(id);
-  if (found == by_id_.end()) return;
+  const auto found = servers_by_id_.find(id);
+  if (found == servers_by_id_.end()) return;
   auto& server = *found->second;
-  stop_timers(server);
-  for (auto& conn : server.connections) {
-    conn->connection->close();
-    forget_out(server, *conn);
+  cancel_timers(server);
+  for (auto& pooled : server.connections) {
+    pooled->connection->close();
+    forget_outstanding(server, *pooled);
   }
-  connections_ -= server.connections.size();
+  connection_count_ -= server.connections.size();
   versions_.gone(id);
-  by_id_.erase(found);
+  servers_by_id_.erase(found);
 }
 
 bool ConnectionPool::is_available(ServerId id) const {
-  const auto found = by_id_.find(id);
-  if (found == by_id_.end()) return false;
+  const auto found = servers_by_id_.find(id);
+  if (found == servers_by_id_.end()) return false;
   return versions_.speaks(id).has_value() && !found->second->draining;
 }
 
-void ConnectionPool::forget_out(Server& server, const Conn& conn) {
-  std::erase_if(out_, [&](const auto& item) {
-    const auto& out = item.second;
-    if (out.connection != conn.number) return false;
-    if (out.what == What::kRelease) release_out(server, out.id, false);
+void ConnectionPool::forget_outstanding(Server& server, const PooledConnection& pooled) {
+  std::erase_if(outstanding_, [&](const auto& item) {
+    const auto& request = item.second;
+    if (request.connection_number != pooled.number) return false;
+    if (request.kind == RequestKind::kRelease) on_release_ended(server, request.id, false);
     return true;
   });
 }
 
 void ConnectionPool::end_waiting(Server& server) {
-  const auto back = std::exchange(server.waiting, {});
-  for (const auto call : back) {
+  const auto waiting_calls = std::exchange(server.waiting_set_ups, {});
+  for (const auto call : waiting_calls) {
     const auto found = attempts_.find(call);
     if (found == attempts_.end()) continue;
     ++counters_.withdrawn;
-    end(found->second.ref, end_of(Outcome::kNotSent, core::Cause::kOutOfOrder));
+    end_attempt(found->second.ref, make_end(Outcome::kNotSent, core::Cause::kOutOfOrder));
   }
 }
 
-void ConnectionPool::take_back(Server& server) {
+void ConnectionPool::withdraw_set_ups(Server& server) {
   end_waiting(server);
-  // A set-up that was handed over while the socket took it whole may still wait in part: nothing can be taken
-  // out of a connection's order of frames, so the connection itself is given up where that lasts.
-  for (const auto& conn : server.connections) {
-    if (!conn->connection->is_blocked()) continue;
-    loop_.after(kBlockedDrain, [this, id = server.id, number = conn->number] {
-      const auto found = by_id_.find(id);
-      if (found == by_id_.end() || found->second->ready) return;
-      for (const auto& one : std::vector(found->second->connections)) {
-        if (one->number == number && one->connection->is_blocked())
-          one->connection->fail(net::CloseReason::kReset);
+  // A set-up handed to a connection may be written only in part. No frame can be removed from a connection's
+  // output, so the connection is closed if it stays blocked.
+  for (const auto& pooled : server.connections) {
+    if (!pooled->connection->is_blocked()) continue;
+    loop_.after(kBlockedDrainTimeout, [this, id = server.id, number = pooled->number] {
+      const auto found = servers_by_id_.find(id);
+      if (found == servers_by_id_.end() || found->second->ready) return;
+      for (const auto& candidate : std::vector(found->second->connections)) {
+        if (candidate->number == number && candidate->connection->is_blocked())
+          candidate->connection->fail(net::CloseReason::kReset);
       }
     });
   }
@@ -267,282 +276,292 @@
 
 // ---- versions -------------------------------------------------------------------------------------------
 
-void ConnectionPool::apply(translate::Versions::Actions actions) {
+void ConnectionPool::apply_version_actions(translate::Versions::Actions actions) {
   for (const auto& action : actions) {
-    const auto found = by_id_.find(action.server);
-    if (found == by_id_.end()) continue;
+    const auto found = servers_by_id_.find(action.server);
+    if (found == servers_by_id_.end()) continue;
     auto& server = *found->second;
     if (action.what == translate::VersionAction::What::kChanged) {
-      if (auto* listed = servers_.find(server.id)) listed->version = action.dialect.value_or(core::kNotKnown);
-      net::log::info(
-          "session api: ", server.name, " speaks ",
-          action.dialect ? translator_.server(*action.dialect).name : std::string("nothing that is known"));
-      // The module hears first: what is taken back is placed anew at once and must not go there again.
+      if (auto* endpoint = endpoints_.find(server.id))
+        endpoint->version = action.dialect.value_or(core::kNotKnown);
+      net::log::info("session api: ", server.name, " speaks ",
+                     action.dialect ? translator_.server(*action.dialect).name
+                                    : std::string("no known version; no set-ups are sent to it"));
+      // The decision module is told first: withdrawn set-ups are placed again at once and must not go to this
+      // server.
       on_change_(server.id, false);
       if (!action.dialect) {
         end_waiting(server);
       }
       continue;
     }
-    for (const auto& conn : server.connections) {
-      if (conn->number != action.connection || !conn->connection->has_room()) continue;
-      const Key key = next_key_++;
-      out_[key] = {What::kVersions, {}, {}, net::Loop::now(), conn->number};
-      if (!conn->connection->request(key, {"GET", "/versions", {{"accept", "application/json"}}}))
-        out_.erase(key);
+    for (const auto& pooled : server.connections) {
+      if (pooled->number != action.connection || !pooled->connection->has_capacity()) continue;
+      const RequestKey key = next_key_++;
+      outstanding_[key] = {RequestKind::kVersions, {}, {}, net::Loop::now(), pooled->number};
+      if (!pooled->connection->request(key, {"GET", "/versions", {{"accept", "application/json"}}}))
+        outstanding_.erase(key);
     }
   }
-  look_at_versions();
+  schedule_version_tick();
 }
 
-void ConnectionPool::look_at_versions() {
-  const auto next = versions_.next_tick();
-  if (!next || look_ != 0) return;
-  look_ = loop_.wheel.at(std::min(*next, net::Loop::now() + seconds{1}), [this] {
-    look_ = 0;
+void ConnectionPool::schedule_version_tick() {
+  const auto next_tick = versions_.next_tick();
+  if (!next_tick || version_timer_ != 0) return;
+  version_timer_ = loop_.wheel.at(std::min(*next_tick, net::Loop::now() + seconds{1}), [this] {
+    version_timer_ = 0;
     translate::Versions::Actions actions;
     versions_.tick(net::Loop::now(), actions);
-    apply(std::move(actions));
+    apply_version_actions(std::move(actions));
   });
 }
 
 // ---- connections ----------------------------------------------------------------------------------------
 
-void ConnectionPool::keep_warm(Server& server) {
-  if (!server.wanted || server.retry != 0) return;
-  const auto usable = [](const auto& conn) {
-    return !conn->connection->is_closed() && !conn->connection->is_going_away();
+void ConnectionPool::maintain_connections(Server& server) {
+  if (!server.listed || server.reconnect_timer != 0) return;
+  const auto is_usable = [](const auto& pooled) {
+    return !pooled->connection->is_closed() && !pooled->connection->is_going_away();
   };
   while (static_cast<std::size_t>(std::count_if(server.connections.begin(), server.connections.end(),
-                                                usable)) < kWarmConnections) {
-    const auto had = server.connections.size();
+                                                is_usable)) < kMinConnectionsPerServer) {
+    const auto count_before = server.connections.size();
     connect(server);
-    if (server.connections.size() == had) return;
+    if (server.connections.size() == count_before) return;
   }
 }
 
 void ConnectionPool::connect(Server& server) {
-  const auto to = net::read_endpoint(server.address);
-  if (!to) {
-    net::log::warn("server address cannot be read: ", server.address);
+  const auto remote = net::read_endpoint(server.address);
+  if (!remote) {
+    net::log::warn("session api: not connecting, server address is not IP:port: ", server.address);
     return;
   }
-  if (connections_ >= bounds_.upstream_connections && !server.connections.empty()) return;
-  if (server.connections.size() >= kMaxConnections + kWarmConnections) return;  // some may be going away
+  if (connection_count_ >= resource_limits_.upstream_connections && !server.connections.empty()) return;
+  if (server.connections.size() >= kMaxConnectionsPerServer + kMinConnectionsPerServer)
+    return;  // the excess is for connections that are going away
   Connection::Limits limits;
-  limits.connect = connect_limit_;
-  limits.streams = bounds_.streams_of_one;
-  auto conn = std::make_shared<Conn>(*this, server, next_connection_++);
-  conn->connection = std::make_shared<Connection>(loop_, *conn, limits);
-  server.connections.push_back(conn);
-  ++connections_;
-  conn->connection->connect(*to);
-}
-
-void ConnectionPool::on_up(Conn& conn) {
-  auto& server = conn.server;
-  conn.up = net::Loop::now();
-  server.backoff = kMinBackoff;
+  limits.connect_timeout = connect_timeout_;
+  limits.max_streams = resource_limits_.streams_of_one;
+  auto pooled = std::make_shared<PooledConnection>(*this, server, next_connection_number_++);
+  pooled->connection = std::make_shared<Connection>(loop_, *pooled, limits);
+  server.connections.push_back(pooled);
+  ++connection_count_;
+  pooled->connection->connect(*remote);
+}
+
+void ConnectionPool::on_up(PooledConnection& pooled) {
+  auto& server = pooled.server;
+  pooled.up_since = net::Loop::now();
+  server.reconnect_backoff = kMinReconnectBackoff;
   translate::Versions::Actions actions;
-  versions_.connected(conn.up, server.id, conn.number, actions);
-  apply(std::move(actions));
-  if (server.events == 0) follow_events(server);
-  pump(server);
-}
-
-void ConnectionPool::on_down(Conn& gone, net::CloseReason why) {
-  auto& server = gone.server;
-  const auto at = std::find_if(server.connections.begin(), server.connections.end(),
-                               [&](const auto& one) { return one.get() == &gone; });
-  if (at == server.connections.end()) return;
-  const auto keep = *at;
-  server.connections.erase(at);
-  --connections_;
-  const bool was_up = gone.up != Instant{};
-  net::log::info(log_link_, "session api: connection to ", server.name, " ", net::name(why));
-  versions_.disconnected(net::Loop::now(), server.id, gone.number);
-  look_at_versions();
-  if (!server.wanted) return;
+  versions_.connected(pooled.up_since, server.id, pooled.number, actions);
+  apply_version_actions(std::move(actions));
+  if (server.event_stream_key == 0) open_event_stream(server);
+  send_waiting(server);
+}
+
+void ConnectionPool::on_down(PooledConnection& closed, net::CloseReason reason) {
+  auto& server = closed.server;
+  const auto position = std::find_if(server.connections.begin(), server.connections.end(),
+                                     [&](const auto& candidate) { return candidate.get() == &closed; });
+  if (position == server.connections.end()) return;
+  const auto self = *position;
+  server.connections.erase(position);
+  --connection_count_;
+  const bool was_up = closed.up_since != Instant{};
+  net::log::info(connection_log_, "session api: connection to ", server.name, " closed: ", net::name(reason));
+  versions_.disconnected(net::Loop::now(), server.id, closed.number);
+  schedule_version_tick();
+  if (!server.listed) return;
   if (!was_up && server.connections.empty()) {
-    // Nobody is there to take what waits: nothing of it has left.
-    const auto lost = std::exchange(server.waiting, {});
-    for (const auto call : lost) {
+    // No connection could be established, so the waiting set-ups fail; none of them has been sent.
+    const auto waiting_calls = std::exchange(server.waiting_set_ups, {});
+    for (const auto call : waiting_calls) {
       const auto attempt = attempts_.find(call);
-      if (attempt != attempts_.end()) end(attempt->second.ref, end_of(Outcome::kConnectFailed));
+      if (attempt != attempts_.end()) end_attempt(attempt->second.ref, make_end(Outcome::kConnectFailed));
     }
-    if (why == net::CloseReason::kRefused) table_.abort_all(server.id, "connection refused");
+    if (reason == net::CloseReason::kRefused) call_table_.abort_all(server.id, "connection refused");
   }
-  if (server.retry != 0) return;
-  server.retry = loop_.after(was_up ? kMinBackoff / 10 : server.backoff, [this, &server] {
-    server.retry = 0;
-    keep_warm(server);
-  });
-  if (!was_up) server.backoff = std::min(server.backoff * 2, kMaxBackoff);
-}
-
-ConnectionPool::Conn* ConnectionPool::pick(Server& server) {
-  Conn* best = nullptr;
-  for (const auto& conn : server.connections) {
-    if (!conn->connection->has_room()) continue;
-    if (best == nullptr || conn->connection->out() < best->connection->out()) best = conn.get();
-  }
-  return best;
-}
-
-// What waits leaves as far as there is room: releases first, since they free what others wait for.
-void ConnectionPool::pump(Server& server) {
-  if (net::Loop::now() < server.calm_until) return;
-  for (auto& [id, release] : server.releases) {
-    if (release.out) continue;
-    auto* conn = pick(server);
-    if (conn == nullptr) break;
-    const Key key = next_key_++;
-    out_[key] = {What::kRelease, {}, id, net::Loop::now(), conn->number};
-    release.out = true;
+  if (server.reconnect_timer != 0) return;
+  server.reconnect_timer =
+      loop_.after(was_up ? kMinReconnectBackoff / 10 : server.reconnect_backoff, [this, &server] {
+        server.reconnect_timer = 0;
+        maintain_connections(server);
+      });
+  if (!was_up) server.reconnect_backoff = std::min(server.reconnect_backoff * 2, kMaxReconnectBackoff);
+}
+
+ConnectionPool::PooledConnection* ConnectionPool::pick_connection(Server& server) {
+  PooledConnection* least_loaded = nullptr;
+  for (const auto& pooled : server.connections) {
+    if (!pooled->connection->has_capacity()) continue;
+    if (least_loaded == nullptr ||
+        pooled->connection->outstanding_requests() < least_loaded->connection->outstanding_requests())
+      least_loaded = pooled.get();
+  }
+  return least_loaded;
+}
+
+// Sends waiting requests while connections have capacity. Releases go first, because they free sessions that
+// other calls wait for.
+void ConnectionPool::send_waiting(Server& server) {
+  if (net::Loop::now() < server.paused_until) return;
+  for (auto& [id, release] : server.pending_releases) {
+    if (release.outstanding) continue;
+    auto* pooled = pick_connection(server);
+    if (pooled == nullptr) break;
+    const RequestKey key = next_key_++;
+    outstanding_[key] = {RequestKind::kRelease, {}, id, net::Loop::now(), pooled->number};
+    release.outstanding = true;
     ++release.tries;
     const auto cause = std::to_string(static_cast<int>(release.cause));
-    conn->connection->request(key, {"DELETE", "/sessions/" + id + "?cause=" + cause});
+    pooled->connection->request(key, {"DELETE", "/sessions/" + id + "?cause=" + cause});
   }
-  while (!server.waiting.empty()) {
-    const auto found = attempts_.find(server.waiting.front());
+  while (!server.waiting_set_ups.empty()) {
+    const auto found = attempts_.find(server.waiting_set_ups.front());
     if (found == attempts_.end()) {
-      server.waiting.pop_front();
+      server.waiting_set_ups.pop_front();
       continue;
     }
     auto& attempt = found->second;
-    auto* conn = out_.size() < bounds_.streams ? pick(server) : nullptr;
-    if (conn == nullptr) break;
-    server.waiting.pop_front();
-    attempt.key = next_key_++;
-    attempt.conn = conn;
-    attempt.sent = net::Loop::now();
-    out_[attempt.key] = {What::kSetUp, attempt.ref.call, attempt.id, attempt.sent, conn->number};
+    auto* pooled = outstanding_.size() < resource_limits_.streams ? pick_connection(server) : nullptr;
+    if (pooled == nullptr) break;
+    server.waiting_set_ups.pop_front();
+    attempt.request_key = next_key_++;
+    attempt.pooled = pooled;
+    attempt.sent_at = net::Loop::now();
+    outstanding_[attempt.request_key] = {RequestKind::kSetUp, attempt.ref.call, attempt.id, attempt.sent_at,
+                                         pooled->number};
     const auto version = std::to_string(translator_.server(attempt.version).version);
-    conn->connection->request(attempt.key, {"POST",
-                                            "/sessions",
-                                            {{"content-type", "application/json"}, {"api-version", version}},
-                                            attempt.body});
+    pooled->connection->request(attempt.request_key,
+                                {"POST",
+                                 "/sessions",
+                                 {{"content-type", "application/json"}, {"api-version", version}},
+                                 attempt.body});
     attempt.body.clear();
     attempt.body.shrink_to_fit();
   }
-  // What finds no room asks for one more connection.
-  if (!server.waiting.empty() && server.wanted && server.retry == 0 &&
-      server.connections.size() < kMaxConnections) {
+  // Set-ups that still wait need another connection.
+  if (!server.waiting_set_ups.empty() && server.listed && server.reconnect_timer == 0 &&
+      server.connections.size() < kMaxConnectionsPerServer) {
     connect(server);
   }
 }
 
-// ---- what the core asks ---------------------------------------------------------------------------------
+// ---- requests of the core -------------------------------------------------------------------------------
 
 void ConnectionPool::set_up(const core::SetUp& set_up) {
-  auto& server = of(set_up.attempt.server);
+  auto& server = find_or_add_server(set_up.attempt.server);
   const auto version = versions_.speaks(server.id);
   const auto* message = dynamic_cast<const translate::Message*>(set_up.message);
-  if (!version || message == nullptr || !server.wanted) {
-    end_later(set_up.attempt, end_of(Outcome::kNotSent, core::Cause::kOutOfOrder));
+  if (!version || message == nullptr || !server.listed) {
+    end_attempt_later(set_up.attempt, make_end(Outcome::kNotSent, core::Cause::kOutOfOrder));
     return;
   }
   const auto* mapping = translator_.mapping(message->client(), *version);
-  const auto said = mapping->set_up.run(message->record(), said_);
-  if (!said) {
-    // The front has ruled this version out; a server that has changed it since gets here.
-    end_later(set_up.attempt,
-              error_of({core::Reason::kNoCompatibleServer, core::Ran::kNo, core::About::kVersion}));
+  const auto translation = mapping->set_up.run(message->record(), translated_);
+  if (!translation) {
+    // Versions that cannot take the call were excluded when it arrived, but the server has changed its
+    // version since.
+    end_attempt_later(set_up.attempt,
+                      make_error({core::Reason::kNoCompatibleServer, core::Ran::kNo, core::About::kVersion}));
     return;
   }
   const auto& fields = translator_.server(*version).of(Kind::kSetUp);
-  const auto ms = std::chrono::duration_cast<milliseconds>(set_up.wait).count();
-  said_.set(translate::index_of(fields, Meaning::kPatience), std::max<std::int64_t>(ms, 1));
+  const auto patience_ms = std::chrono::duration_cast<milliseconds>(set_up.wait).count();
+  translated_.set(translate::index_of(fields, Meaning::kPatience), std::max<std::int64_t>(patience_ms, 1));
   Attempt attempt;
   attempt.ref = set_up.attempt;
   attempt.id = set_up.id;
-  attempt.body = write_body(fields, said_);
+  attempt.body = write_body(fields, translated_);
   attempt.version = *version;
-  attempt.client = message->client();
-  by_session_[{server.id, attempt.id}] = set_up.attempt.call;
+  attempt.client_dialect = message->client();
+  calls_by_session_[{server.id, attempt.id}] = set_up.attempt.call;
   versions_.pin(set_up.attempt.call, *version);
   attempts_[set_up.attempt.call] = std::move(attempt);
-  server.waiting.push_back(set_up.attempt.call);
-  keep_warm(server);
-  pump(server);
+  server.waiting_set_ups.push_back(set_up.attempt.call);
+  maintain_connections(server);
+  send_waiting(server);
 }
 
 bool ConnectionPool::cancel(const core::AttemptRef& ref) {
-  auto* attempt = find(ref);
+  auto* attempt = find_attempt(ref);
   if (attempt == nullptr) return false;
-  auto& server = of(ref.server);
+  auto& server = find_or_add_server(ref.server);
   const std::string id = attempt->id;
-  if (attempt->conn == nullptr) {
+  if (attempt->pooled == nullptr) {
     ++counters_.withdrawn;
-    std::erase(server.waiting, ref.call);
-    drop(ref.call);
+    std::erase(server.waiting_set_ups, ref.call);
+    remove_attempt(ref.call);
     return true;
   }
-  const auto connection = attempt->conn->connection;
-  const Key key = attempt->key;
-  drop(ref.call);
-  out_.erase(key);
+  const auto connection = attempt->pooled->connection;
+  const RequestKey key = attempt->request_key;
+  remove_attempt(ref.call);
+  outstanding_.erase(key);
   connection->cancel(key);
-  // Its answer may cross the cancel: then it stands there, and nobody else would release it.
+  // The answer may cross the cancel; the session is then established at the server and has to be released.
   delete_session(server, id, core::Cause::kNormal);
   return false;
 }
 
 void ConnectionPool::release(const core::AttemptRef& ref, core::Cause cause) {
-  auto* attempt = find(ref);
+  auto* attempt = find_attempt(ref);
   if (attempt == nullptr) return;
   const std::string id = attempt->id;
-  drop(ref.call);
-  delete_session(of(ref.server), id, cause);
+  remove_attempt(ref.call);
+  delete_session(find_or_add_server(ref.server), id, cause);
 }
 
 void ConnectionPool::forget(const core::AttemptRef& ref) {
-  if (find(ref) != nullptr) drop(ref.call);
+  if (find_attempt(ref) != nullptr) remove_attempt(ref.call);
 }
 
-// A release that is lost leaves a session standing for good: it is kept until it is confirmed.
+// A lost release would leave the session established for good, so it is kept until the server confirms it.
 void ConnectionPool::delete_session(Server& server, const std::string& id, core::Cause cause) {
-  if (!server.wanted || server.releases.size() >= bounds_.waiting_of_one) return;
-  server.releases[id] = {cause, false, 0};
-  pump(server);
+  if (!server.listed || server.pending_releases.size() >= resource_limits_.waiting_of_one) return;
+  server.pending_releases[id] = {cause, false, 0};
+  send_waiting(server);
 }
 
-void ConnectionPool::release_out(Server& server, const std::string& id, bool confirmed) {
-  const auto found = server.releases.find(id);
-  if (found == server.releases.end()) return;
+void ConnectionPool::on_release_ended(Server& server, const std::string& id, bool confirmed) {
+  const auto found = server.pending_releases.find(id);
+  if (found == server.pending_releases.end()) return;
   if (confirmed || found->second.tries >= kMaxReleaseTries) {
-    server.releases.erase(found);
+    server.pending_releases.erase(found);
     return;
   }
-  found->second.out = false;
-  if (server.release_timer != 0) return;
-  server.release_timer = loop_.after(kReleaseAgain, [this, &server] {
-    server.release_timer = 0;
-    pump(server);
+  found->second.outstanding = false;
+  if (server.release_retry_timer != 0) return;
+  server.release_retry_timer = loop_.after(kReleaseRetryInterval, [this, &server] {
+    server.release_retry_timer = 0;
+    send_waiting(server);
   });
 }
 
 void ConnectionPool::check_health(ServerId id) {
-  auto& server = of(id);
-  auto* conn = pick(server);
-  if (conn == nullptr) {
+  auto& server = find_or_add_server(id);
+  auto* pooled = pick_connection(server);
+  if (pooled == nullptr) {
     const bool connecting = !server.connections.empty();
     asio::post(loop_.io, [this, id, connecting] {
-      table_.on_health_check_result(id, connecting ? Outcome::kTimeout : Outcome::kConnectFailed,
-                                    Duration::zero(), {});
+      call_table_.on_health_check_result(id, connecting ? Outcome::kTimeout : Outcome::kConnectFailed,
+                                         Duration::zero(), {});
     });
     return;
   }
-  const Key key = next_key_++;
-  out_[key] = {What::kProbe, {}, {}, net::Loop::now(), conn->number};
-  conn->connection->request(key, {"GET", "/versions", {{"accept", "application/json"}}});
+  const RequestKey key = next_key_++;
+  outstanding_[key] = {RequestKind::kHealthProbe, {}, {}, net::Loop::now(), pooled->number};
+  pooled->connection->request(key, {"GET", "/versions", {{"accept", "application/json"}}});
   loop_.after(milliseconds{250}, [this, id, key] {
-    if (out_.erase(key) == 0) return;
-    table_.on_health_check_result(id, Outcome::kTimeout, milliseconds{250}, {});
+    if (outstanding_.erase(key) == 0) return;
+    call_table_.on_health_check_result(id, Outcome::kTimeout, milliseconds{250}, {});
   });
 }
 
-ConnectionPool::Attempt* ConnectionPool::find(const core::AttemptRef& ref) {
+ConnectionPool::Attempt* ConnectionPool::find_attempt(const core::AttemptRef& ref) {
   const auto found = attempts_.find(ref.call);
   if (found == attempts_.end() || found->second.ref.attempt != ref.attempt ||
       found->second.ref.server != ref.server) {
@@ -551,92 +570,94 @@
   return &found->second;
 }
 
-void ConnectionPool::drop(CallId call) {
+void ConnectionPool::remove_attempt(CallId call) {
   const auto found = attempts_.find(call);
   if (found == attempts_.end()) return;
-  const auto at = by_session_.find({found->second.ref.server, found->second.id});
-  if (at != by_session_.end() && at->second == call) by_session_.erase(at);
+  const auto session = calls_by_session_.find({found->second.ref.server, found->second.id});
+  if (session != calls_by_session_.end() && session->second == call) calls_by_session_.erase(session);
   versions_.unpin(call);
   attempts_.erase(found);
 }
 
-void ConnectionPool::end(core::AttemptRef ref, core::AttemptEnd what) {
-  if (find(ref) == nullptr) return;
-  drop(ref.call);
-  table_.on_attempt_ended(ref, what);
+void ConnectionPool::end_attempt(core::AttemptRef ref, core::AttemptEnd attempt_end) {
+  if (find_attempt(ref) == nullptr) return;
+  remove_attempt(ref.call);
+  call_table_.on_attempt_ended(ref, attempt_end);
 }
 
-void ConnectionPool::end_later(core::AttemptRef ref, core::AttemptEnd what) {
-  asio::post(loop_.io, [this, ref, what] { table_.on_attempt_ended(ref, what); });
+void ConnectionPool::end_attempt_later(core::AttemptRef ref, core::AttemptEnd attempt_end) {
+  asio::post(loop_.io, [this, ref, attempt_end] { call_table_.on_attempt_ended(ref, attempt_end); });
 }
 
-// ---- what the servers say -------------------------------------------------------------------------------
+// ---- responses and failures -----------------------------------------------------------------------------
 
-void ConnectionPool::on_response(Conn& conn, Key key, Response& response) {
-  const auto found = out_.find(key);
-  if (found == out_.end()) return;
-  const Out out = std::move(found->second);
-  out_.erase(found);
-  auto& server = conn.server;
+void ConnectionPool::on_response(PooledConnection& pooled, RequestKey key, Response& response) {
+  const auto found = outstanding_.find(key);
+  if (found == outstanding_.end()) return;
+  const OutstandingRequest request = std::move(found->second);
+  outstanding_.erase(found);
+  auto& server = pooled.server;
   std::string fault;
-  switch (out.what) {
-    case What::kSetUp:
-      on_set_up_answer(conn, out.call, response);
+  switch (request.kind) {
+    case RequestKind::kSetUp:
+      on_set_up_answer(pooled, request.call, response);
       break;
-    case What::kRelease:
-      release_out(server, out.id, response.status == 204 || response.status == 404);
+    case RequestKind::kRelease:
+      on_release_ended(server, request.id, response.status == 204 || response.status == 404);
       break;
-    case What::kProbe:
-      table_.on_health_check_result(
+    case RequestKind::kHealthProbe:
+      call_table_.on_health_check_result(
           server.id, response.status == 503 || response.status == 429 ? Outcome::kFull : Outcome::kOk,
-          net::Loop::now() - out.sent, {});
+          net::Loop::now() - request.sent_at, {});
       break;
-    case What::kVersions: {
+    case RequestKind::kVersions: {
       std::vector<DialectNo> spoken;
       std::string process;
       if (response.status == 404) {
-        // Version 1 knows no such path.
-        if (const auto one = translator_.server_no("session-1")) spoken.push_back(*one);
+        // A server of version 1 does not have this path.
+        if (const auto version_1 = translator_.server_no("session-1")) spoken.push_back(*version_1);
       } else if (response.status == 200) {
-        const auto read = reader_.read_versions({response.body.data(), response.body.size()}, fault);
-        if (!read) {
-          net::log::warn(log_bad_, "session api: versions of ", server.name, " cannot be read: ", fault);
+        const auto versions_body = reader_.read_versions({response.body.data(), response.body.size()}, fault);
+        if (!versions_body) {
+          net::log::warn(invalid_message_log_, "session api: versions body of ", server.name,
+                         " is invalid and ignored: ", fault);
           return;
         }
-        for (const auto version : read->versions) {
-          if (const auto no = translator_.server_no("session-" + std::to_string(version)))
-            spoken.push_back(*no);
+        for (const auto version : versions_body->versions) {
+          if (const auto dialect = translator_.server_no("session-" + std::to_string(version)))
+            spoken.push_back(*dialect);
         }
-        process = read->process;
+        process = versions_body->process;
       } else {
-        return;  // asked again when the patience is over
+        return;  // versions_ asks again after its timeout
       }
-      if (!server.process.empty() && process != server.process) {
-        net::log::warn("session api: ", server.name, " is another process now");
-        table_.abort_sent_before(server.id, conn.up, "process replaced");
+      if (!server.process_name.empty() && process != server.process_name) {
+        net::log::warn("session api: ", server.name,
+                       " was replaced by a new process; sessions established before are aborted");
+        call_table_.abort_sent_before(server.id, pooled.up_since, "process replaced");
       }
-      server.process = process;
+      server.process_name = process;
       translate::Versions::Actions actions;
-      versions_.told(net::Loop::now(), server.id, conn.number, process, spoken, actions);
-      apply(std::move(actions));
-      pump(server);
+      versions_.told(net::Loop::now(), server.id, pooled.number, process, spoken, actions);
+      apply_version_actions(std::move(actions));
+      send_waiting(server);
       break;
     }
-    case What::kEvents:
-      again_events(server);
+    case RequestKind::kEvents:
+      reopen_event_stream(server);
       break;
-    case What::kCheck:
+    case RequestKind::kCheckSession:
       if (response.status == 404)
-        session_over(server, out.id, Outcome::kReset, core::Cause::kTemporaryFailure);
+        on_session_ended(server, request.id, Outcome::kReset, core::Cause::kTemporaryFailure);
       break;
   }
 }
 
-void ConnectionPool::on_set_up_answer(Conn& conn, CallId call, Response& response) {
+void ConnectionPool::on_set_up_answer(PooledConnection& pooled, CallId call, Response& response) {
   const auto found = attempts_.find(call);
   if (found == attempts_.end()) return;
   auto& attempt = found->second;
-  auto& server = conn.server;
+  auto& server = pooled.server;
   const auto ref = attempt.ref;
   const auto& dialect = translator_.server(attempt.version);
   std::string fault;
@@ -647,249 +668,260 @@
         type = problem->type;
     }
     const auto retry_after =
-        translate::read_retry_after(response.retry_after, net::Loop::unix_ms(), max_stay_away_);
+        translate::read_retry_after(response.retry_after, net::Loop::unix_ms(), max_retry_after_);
     const auto meaning = translate::meaning_of(dialect, static_cast<std::uint32_t>(response.status), type);
     translate::Versions::Actions actions;
     if (response.status == 505) {
-      versions_.denied(net::Loop::now(), server.id, conn.number, attempt.version, actions);
+      versions_.denied(net::Loop::now(), server.id, pooled.number, attempt.version, actions);
     }
-    // The module hears first that the version is gone: the call may wait for what the server says next.
-    apply(std::move(actions));
-    end(ref, error_of(meaning, retry_after));
+    // The decision module learns first that the version is not spoken any more, because the call may have to
+    // wait until the server has been asked again.
+    apply_version_actions(std::move(actions));
+    end_attempt(ref, make_error(meaning, retry_after));
     return;
   }
   const auto version = dialect.version;
   if (!reader_.read_answer(version, {response.body.data(), response.body.size()}, record_, fault)) {
     ++counters_.malformed_answers;
-    net::log::warn(log_bad_, "session api: answer of ", server.name, " to ", attempt.id,
-                   " cannot be taken: ", fault);
+    net::log::warn(invalid_message_log_, "session api: set-up answer of ", server.name, " to ", attempt.id,
+                   " is invalid; the session is released: ", fault);
     const std::string id = attempt.id;
-    end(ref, error_of({core::Reason::kServerFault, core::Ran::kMaybe, core::About::kServer}));
+    end_attempt(ref, make_error({core::Reason::kServerFault, core::Ran::kMaybe, core::About::kServer}));
     delete_session(server, id, core::Cause::kInvalidContents);
     return;
   }
-  const auto* mapping = translator_.mapping(attempt.client, attempt.version);
-  const auto said = mapping->answer.run(record_, said_);
+  const auto* mapping = translator_.mapping(attempt.client_dialect, attempt.version);
+  const auto translation = mapping->answer.run(record_, translated_);
   const auto& fields = dialect.of(Kind::kAnswer);
-  const bool same = record_.text(translate::index_of(fields, Meaning::kCall)) == attempt.id;
-  if (!said || !same) {
-    // It stands there and cannot be told here, or is another session's: it is released, and the call is over.
+  const bool is_same_session = record_.text(translate::index_of(fields, Meaning::kCall)) == attempt.id;
+  if (!translation || !is_same_session) {
+    // The session is established, but its answer cannot be translated for the client or names another
+    // session. The session is released and the attempt fails.
     ++counters_.malformed_answers;
     const std::string id = attempt.id;
-    end(ref, error_of({same ? core::Reason::kFieldRejected : core::Reason::kServerFault, core::Ran::kMaybe,
-                       same ? core::About::kCall : core::About::kServer}));
+    end_attempt(ref,
+                make_error({is_same_session ? core::Reason::kFieldRejected : core::Reason::kServerFault,
+                            core::Ran::kMaybe, is_same_session ? core::About::kCall : core::About::kServer}));
     delete_session(server, id, core::Cause::kInvalidContents);
     return;
   }
-  const auto& client_fields = translator_.client(attempt.client).of(Kind::kAnswer);
-  const std::string description(said_.text(translate::index_of(client_fields, Meaning::kDescription)));
-  attempt.standing = true;
-  attempt.conn = nullptr;
-  attempt.key = 0;
-  const auto over = attempt.over;
+  const auto& client_fields = translator_.client(attempt.client_dialect).of(Kind::kAnswer);
+  const std::string description(translated_.text(translate::index_of(client_fields, Meaning::kDescription)));
+  attempt.established = true;
+  attempt.pooled = nullptr;
+  attempt.request_key = 0;
+  const auto early_end = attempt.early_end;
   const std::string id = attempt.id;
-  if (!table_.on_established(ref, description)) {
-    drop(call);
+  if (!call_table_.on_established(ref, description)) {
+    remove_attempt(call);
     delete_session(server, id, core::Cause::kInvalidContents);
     return;
   }
-  // Its end came by the stream of events before the answer came by this one.
-  if (over) end(ref, end_of(over->first, over->second));
-}
-
-void ConnectionPool::on_failure(Conn& conn, Key key, Failure failure) {
-  const auto found = out_.find(key);
-  if (found == out_.end()) return;
-  const Out out = std::move(found->second);
-  out_.erase(found);
-  auto& server = conn.server;
-  if (failure == Failure::kCalm) {
-    server.calm_until = net::Loop::now() + kCalm;
-    if (server.calm == 0) {
-      server.calm = loop_.after(kCalm, [this, &server] {
-        server.calm = 0;
-        pump(server);
+  // The event stream reported the session's end before the answer to its set-up arrived.
+  if (early_end) end_attempt(ref, make_end(early_end->first, early_end->second));
+}
+
+void ConnectionPool::on_failure(PooledConnection& pooled, RequestKey key, Failure failure) {
+  const auto found = outstanding_.find(key);
+  if (found == outstanding_.end()) return;
+  const OutstandingRequest request = std::move(found->second);
+  outstanding_.erase(found);
+  auto& server = pooled.server;
+  if (failure == Failure::kEnhanceYourCalm) {
+    server.paused_until = net::Loop::now() + kCalmPause;
+    if (server.pause_timer == 0) {
+      server.pause_timer = loop_.after(kCalmPause, [this, &server] {
+        server.pause_timer = 0;
+        send_waiting(server);
       });
     }
   }
-  switch (out.what) {
-    case What::kSetUp: {
-      const auto at = attempts_.find(out.call);
-      if (at == attempts_.end()) return;
-      auto& attempt = at->second;
+  switch (request.kind) {
+    case RequestKind::kSetUp: {
+      const auto attempt_entry = attempts_.find(request.call);
+      if (attempt_entry == attempts_.end()) return;
+      auto& attempt = attempt_entry->second;
       const std::string id = attempt.id;
       switch (failure) {
-        case Failure::kNeverRan:
-          end(attempt.ref, error_of({core::Reason::kServerFault, core::Ran::kNo, core::About::kServer}));
+        case Failure::kNotProcessed:
+          end_attempt(attempt.ref,
+                      make_error({core::Reason::kServerFault, core::Ran::kNo, core::About::kServer}));
           break;
-        case Failure::kCalm:
-          end(attempt.ref, error_of({core::Reason::kCongestion, core::Ran::kMaybe, core::About::kServer}));
+        case Failure::kEnhanceYourCalm:
+          end_attempt(attempt.ref,
+                      make_error({core::Reason::kCongestion, core::Ran::kMaybe, core::About::kServer}));
           break;
         case Failure::kTooLarge:
-          end(attempt.ref, error_of({core::Reason::kServerFault, core::Ran::kMaybe, core::About::kServer}));
+          end_attempt(attempt.ref,
+                      make_error({core::Reason::kServerFault, core::Ran::kMaybe, core::About::kServer}));
           delete_session(server, id, core::Cause::kInvalidContents);
           break;
         case Failure::kReset:
-          end(attempt.ref, error_of({core::Reason::kAborted, core::Ran::kMaybe, core::About::kServer}));
-          // A reset of the stream leaves in doubt whether it stands there.
+          end_attempt(attempt.ref,
+                      make_error({core::Reason::kAborted, core::Ran::kMaybe, core::About::kServer}));
+          // After a reset the session may or may not be established.
           delete_session(server, id, core::Cause::kTemporaryFailure);
           break;
       }
       break;
     }
-    case What::kRelease:
-      release_out(server, out.id, false);
+    case RequestKind::kRelease:
+      on_release_ended(server, request.id, false);
       break;
-    case What::kEvents:
-      again_events(server);
+    case RequestKind::kEvents:
+      reopen_event_stream(server);
       break;
-    case What::kCheck:
-      server.to_check.push_back(out.id);
+    case RequestKind::kCheckSession:
+      server.sessions_to_check.push_back(request.id);
       check_sessions(server);
       break;
-    case What::kProbe:
-      table_.on_health_check_result(server.id, Outcome::kReset, net::Loop::now() - out.sent, {});
+    case RequestKind::kHealthProbe:
+      call_table_.on_health_check_result(server.id, Outcome::kReset, net::Loop::now() - request.sent_at, {});
       break;
-    case What::kVersions:
+    case RequestKind::kVersions:
       break;
   }
 }
 
 // ---- events ---------------------------------------------------------------------------------------------
 
-void ConnectionPool::follow_events(Server& server) {
-  if (server.events != 0) return;
-  auto* conn = pick(server);
-  if (conn == nullptr) return;
-  const Key key = next_key_++;
+void ConnectionPool::open_event_stream(Server& server) {
+  if (server.event_stream_key != 0) return;
+  auto* pooled = pick_connection(server);
+  if (pooled == nullptr) return;
+  const RequestKey key = next_key_++;
   Request request{"GET", "/events", {{"accept", "text/event-stream"}}, {}, true};
-  if (server.resumable) request.headers.emplace_back("last-event-id", std::to_string(server.last_event));
-  server.reader = settings::SseReader(net::kMaxMessage);
-  server.events = key;
-  out_[key] = {What::kEvents, {}, {}, net::Loop::now(), conn->number};
-  conn->connection->request(key, request);
-}
-
-void ConnectionPool::again_events(Server& server) {
-  if (server.events != 0) {
-    out_.erase(server.events);
-    for (const auto& conn : server.connections) conn->connection->cancel(server.events);
-    server.events = 0;
-  }
-  if (!server.wanted || server.events_timer != 0) return;
-  server.events_timer = loop_.after(kEventsAgain, [this, &server] {
-    server.events_timer = 0;
-    follow_events(server);
-    // No connection has room yet: it is tried again.
-    if (server.events == 0) again_events(server);
+  if (server.has_last_event_id)
+    request.headers.emplace_back("last-event-id", std::to_string(server.last_event_id));
+  server.sse_reader = settings::SseReader(net::kMaxMessage);
+  server.event_stream_key = key;
+  outstanding_[key] = {RequestKind::kEvents, {}, {}, net::Loop::now(), pooled->number};
+  pooled->connection->request(key, request);
+}
+
+void ConnectionPool::reopen_event_stream(Server& server) {
+  if (server.event_stream_key != 0) {
+    outstanding_.erase(server.event_stream_key);
+    for (const auto& pooled : server.connections) pooled->connection->cancel(server.event_stream_key);
+    server.event_stream_key = 0;
+  }
+  if (!server.listed || server.event_stream_timer != 0) return;
+  server.event_stream_timer = loop_.after(kEventStreamRetryInterval, [this, &server] {
+    server.event_stream_timer = 0;
+    open_event_stream(server);
+    // No connection has capacity yet; tries again later.
+    if (server.event_stream_key == 0) reopen_event_stream(server);
   });
 }
 
-bool ConnectionPool::on_chunk(Conn& conn, Key key, int status, std::string_view chunk) {
-  const auto found = out_.find(key);
-  if (found == out_.end()) return false;
-  auto& server = conn.server;
+bool ConnectionPool::on_chunk(PooledConnection& pooled, RequestKey key, int status, std::string_view chunk) {
+  const auto found = outstanding_.find(key);
+  if (found == outstanding_.end()) return false;
+  auto& server = pooled.server;
   if (status != 200) {
-    out_.erase(found);
-    server.events = 0;
-    again_events(server);
+    outstanding_.erase(found);
+    server.event_stream_key = 0;
+    reopen_event_stream(server);
     return false;
   }
-  if (server.events != key) return false;
-  const bool good =
-      server.reader.feed(chunk, [&](const settings::SseEvent& event) { on_event(server, event); });
-  if (good && server.events == key) return true;
-  if (!good) {
+  if (server.event_stream_key != key) return false;
+  const bool is_accepted =
+      server.sse_reader.feed(chunk, [&](const settings::SseEvent& event) { on_event(server, event); });
+  if (is_accepted && server.event_stream_key == key) return true;
+  if (!is_accepted) {
     ++counters_.unreadable;
-    net::log::warn(log_bad_, "session api: an event of ", server.name,
-                   " is too long: the stream is read anew");
+    net::log::warn(invalid_message_log_, "session api: an event of ", server.name,
+                   " exceeds the size limit; the event stream is opened again");
   }
-  out_.erase(key);
-  if (server.events == key) server.events = 0;
-  again_events(server);
+  outstanding_.erase(key);
+  if (server.event_stream_key == key) server.event_stream_key = 0;
+  reopen_event_stream(server);
   return false;
 }
 
 void ConnectionPool::on_event(Server& server, const settings::SseEvent& event) {
-  std::uint64_t number = 0;
-  const auto [end, bad] = std::from_chars(event.id.data(), event.id.data() + event.id.size(), number);
-  const bool numbered = bad == std::errc{} && end == event.id.data() + event.id.size();
-  // Told again after a break.
-  if (numbered && server.resumable && number <= server.last_event) return;
+  std::uint64_t event_id = 0;
+  const auto [parse_end, parse_error] =
+      std::from_chars(event.id.data(), event.id.data() + event.id.size(), event_id);
+  const bool has_event_id = parse_error == std::errc{} && parse_end == event.id.data() + event.id.size();
+  // The server repeats events when the stream is resumed.
+  if (has_event_id && server.has_last_event_id && event_id <= server.last_event_id) return;
   std::string data = event.data;
   std::string fault;
-  const auto read = reader_.read_event(event.name, {data.data(), data.size()}, fault);
-  if (numbered) {
-    server.last_event = number;
-    server.resumable = true;
+  const auto session_event = reader_.read_event(event.name, {data.data(), data.size()}, fault);
+  if (has_event_id) {
+    server.last_event_id = event_id;
+    server.has_last_event_id = true;
   }
-  if (!read) {
+  if (!session_event) {
     ++counters_.unreadable;
-    net::log::warn(log_bad_, "session api: event ", event.id, " of ", server.name,
-                   " cannot be read: ", fault);
-    // It may have said that a session is over: all are asked for.
-    for (const auto& [key, call] : by_session_) {
-      if (key.first == server.id) server.to_check.push_back(key.second);
+    net::log::warn(invalid_message_log_, "session api: event ", event.id, " of ", server.name,
+                   " is invalid; all sessions of the server are checked: ", fault);
+    // The event may have reported a session's end, so all sessions of this server are checked.
+    for (const auto& [key, call] : calls_by_session_) {
+      if (key.first == server.id) server.sessions_to_check.push_back(key.second);
     }
     check_sessions(server);
     return;
   }
-  switch (read->kind) {
+  switch (session_event->kind) {
     case SessionEvent::Kind::kReleased:
-      session_over(server, read->id, Outcome::kOk, static_cast<core::Cause>(read->cause));
+      on_session_ended(server, session_event->id, Outcome::kOk,
+                       static_cast<core::Cause>(session_event->cause));
       break;
     case SessionEvent::Kind::kAborted:
-      session_over(server, read->id, Outcome::kReset, core::Cause::kTemporaryFailure);
+      on_session_ended(server, session_event->id, Outcome::kReset, core::Cause::kTemporaryFailure);
       break;
     case SessionEvent::Kind::kLoad: {
       LoadReport report;
-      for (const auto& [name, value] : read->load) core::set_load_report_field(report, name, value);
-      table_.on_load_report(server.id, report);
+      for (const auto& [name, value] : session_event->load) core::set_load_report_field(report, name, value);
+      call_table_.on_load_report(server.id, report);
       break;
     }
-    case SessionEvent::Kind::kLost:
-      for (const auto& [key, call] : by_session_) {
-        if (key.first == server.id) server.to_check.push_back(key.second);
+    case SessionEvent::Kind::kEventsLost:
+      for (const auto& [key, call] : calls_by_session_) {
+        if (key.first == server.id) server.sessions_to_check.push_back(key.second);
       }
       check_sessions(server);
       break;
     case SessionEvent::Kind::kDraining:
       if (std::exchange(server.draining, true)) break;
       on_change_(server.id, false);
-      take_back(server);
+      withdraw_set_ups(server);
       break;
     case SessionEvent::Kind::kUnknown:
       break;
   }
 }
 
-void ConnectionPool::session_over(Server& server, const std::string& id, Outcome outcome, core::Cause cause) {
-  const auto found = by_session_.find({server.id, id});
-  if (found == by_session_.end()) {
+void ConnectionPool::on_session_ended(Server& server, const std::string& id, Outcome outcome,
+                                      core::Cause cause) {
+  const auto found = calls_by_session_.find({server.id, id});
+  if (found == calls_by_session_.end()) {
     ++counters_.unknown_ids;
     return;
   }
   auto& attempt = attempts_.at(found->second);
-  if (!attempt.standing) {
-    attempt.over = std::pair(outcome, cause);
+  if (!attempt.established) {
+    attempt.early_end = std::pair(outcome, cause);
     return;
   }
-  end(attempt.ref, end_of(outcome, cause));
+  end_attempt(attempt.ref, make_end(outcome, cause));
 }
 
 void ConnectionPool::check_sessions(Server& server) {
-  if (server.check_timer != 0 || server.to_check.empty()) return;
-  server.check_timer = loop_.after(kCheckEvery, [this, &server] {
+  if (server.check_timer != 0 || server.sessions_to_check.empty()) return;
+  server.check_timer = loop_.after(kSessionCheckInterval, [this, &server] {
     server.check_timer = 0;
-    if (server.to_check.empty()) return;
-    if (auto* conn = pick(server)) {
-      const std::string id = server.to_check.front();
-      server.to_check.pop_front();
-      const auto found = by_session_.find({server.id, id});
-      if (found != by_session_.end() && attempts_.at(found->second).standing) {
-        const Key key = next_key_++;
-        out_[key] = {What::kCheck, {}, id, net::Loop::now(), conn->number};
-        conn->connection->request(key, {"GET", "/sessions/" + id});
+    if (server.sessions_to_check.empty()) return;
+    if (auto* pooled = pick_connection(server)) {
+      const std::string id = server.sessions_to_check.front();
+      server.sessions_to_check.pop_front();
+      const auto found = calls_by_session_.find({server.id, id});
+      if (found != calls_by_session_.end() && attempts_.at(found->second).established) {
+        const RequestKey key = next_key_++;
+        outstanding_[key] = {RequestKind::kCheckSession, {}, id, net::Loop::now(), pooled->number};
+        pooled->connection->request(key, {"GET", "/sessions/" + id});
       }
     }
     check_sessions(server);
--- a/src/http2/connection_pool.hpp
+++ b/src/http2/connection_pool.hpp
@@ -1,6 +1,6 @@
-// The links to session servers that speak the session API (docs/session-api.md): what each speaks is asked
-// when connecting, set-ups are put in that version's words, and what stands is followed on a stream of
-// events.
+// Connections to the session servers that speak the session API (docs/session-api.md). Asks each server on
+// connecting which versions it speaks, sends set-ups in that version, and follows established sessions on the
+// server's event stream.
 #pragma once
 
 #include <cstdint>
@@ -24,20 +24,23 @@
 
 namespace amberknot::http2 {
 
+/// The upstream pool for servers of the session API. All methods are called on the thread of the event loop.
 class ConnectionPool : public core::UpstreamPool {
  public:
-  /// Told when a server begins or ceases to take new calls, or speaks another version.
-  using OnChange = std::function<void(ServerId server, bool started_anew)>;
-  /// What the operator's file says that a server speaks; empty: it is asked.
-  using Configured = std::function<std::optional<ProtocolVersion>(const std::string& server)>;
+  /// Called when a server starts or stops taking new calls, or speaks another version than before.
+  using OnChange = std::function<void(ServerId server, bool restarted)>;
+  /// Returns the version that the operator's file sets for a server, or nullopt if the server has to be
+  /// asked.
+  using ConfiguredVersion = std::function<std::optional<ProtocolVersion>(const std::string& server)>;
 
-  ConnectionPool(net::Loop& loop, core::CallTable& table, core::EndpointRegistry& servers,
-                 core::Counters& counters, const net::ResourceLimits& bounds,
-                 const translate::Translator& translator, Duration connect_limit, Duration max_stay_away,
-                 Configured configured, OnChange on_change);
+  /// `max_retry_after` caps the Retry-After that a server asks for.
+  ConnectionPool(net::Loop& loop, core::CallTable& call_table, core::EndpointRegistry& endpoints,
+                 core::Counters& counters, const net::ResourceLimits& resource_limits,
+                 const translate::Translator& translator, Duration connect_timeout, Duration max_retry_after,
+                 ConfiguredVersion configured_version, OnChange on_change);
   ~ConnectionPool() override;
 
-  void on_endpoint_changed(const core::Endpoint& listed) override;
+  void on_endpoint_changed(const core::Endpoint& endpoint) override;
   void forget_server(ServerId server) override;
   [[nodiscard]] bool is_available(ServerId server) const override;
 
@@ -47,95 +50,101 @@
   void forget(const core::AttemptRef& attempt) override;
   void check_health(ServerId server) override;
 
+  /// Which version each server speaks.
   [[nodiscard]] const translate::Versions& versions() const { return versions_; }
 
  private:
-  using Key = Connection::Key;
-  struct Conn;
+  using RequestKey = Connection::RequestKey;
+  struct PooledConnection;
   struct Server;
-  /// One attempt that waits to leave, is out, or stands.
+  /// An attempt whose set-up waits or is outstanding, or whose session is established.
   struct Attempt {
     core::AttemptRef ref;
     std::string id;
     std::string body;
     ProtocolVersion version{};
-    std::size_t client = 0;
-    Conn* conn = nullptr;  ///< by which it left; null while it waits and once it stands
-    Key key = 0;
-    Instant sent{};
-    int moved = 0;
-    bool standing = false;
-    std::optional<std::pair<Outcome, core::Cause>> over;  ///< its end came before its answer
+    std::size_t client_dialect = 0;
+    PooledConnection* pooled = nullptr;  ///< while the set-up is outstanding: the connection it was sent on
+    RequestKey request_key = 0;
+    Instant sent_at{};
+    int moves = 0;
+    bool established = false;
+    /// Set if the session's end was reported before the answer to its set-up arrived.
+    std::optional<std::pair<Outcome, core::Cause>> early_end;
   };
-  enum class What : std::uint8_t { kSetUp, kRelease, kVersions, kEvents, kCheck, kProbe };
-  /// A request that is out on some connection.
-  struct Out {
-    What what{};
-    CallId call{};
-    std::string id;
-    Instant sent{};
-    std::uint64_t connection = 0;  ///< its number
+  enum class RequestKind : std::uint8_t { kSetUp, kRelease, kVersions, kEvents, kCheckSession, kHealthProbe };
+  /// A request that has been handed to a connection and has not ended.
+  struct OutstandingRequest {
+    RequestKind kind{};
+    CallId call{};   ///< kSetUp
+    std::string id;  ///< session; kSetUp, kRelease and kCheckSession
+    Instant sent_at{};
+    std::uint64_t connection_number = 0;
   };
-  struct Release {
+  /// A release that the server has not confirmed.
+  struct PendingRelease {
     core::Cause cause{};
-    bool out = false;
+    bool outstanding = false;  ///< a DELETE request has been sent and has not ended
     int tries = 0;
   };
 
-  Server& of(ServerId id);
-  void keep_warm(Server& server);
+  /// Adds the server if the pool does not have it.
+  Server& find_or_add_server(ServerId id);
+  void maintain_connections(Server& server);
   void connect(Server& server);
-  void pump(Server& server);
-  Conn* pick(Server& server);
-  void on_up(Conn& conn);
-  void on_response(Conn& conn, Key key, Response& response);
-  void on_failure(Conn& conn, Key key, Failure failure);
-  bool on_chunk(Conn& conn, Key key, int status, std::string_view chunk);
-  void on_down(Conn& conn, net::CloseReason why);
-  void on_set_up_answer(Conn& conn, CallId call, Response& response);
+  void send_waiting(Server& server);
+  /// Returns the connection with the fewest outstanding requests, or null if none has capacity.
+  PooledConnection* pick_connection(Server& server);
+  void on_up(PooledConnection& pooled);
+  void on_response(PooledConnection& pooled, RequestKey key, Response& response);
+  void on_failure(PooledConnection& pooled, RequestKey key, Failure failure);
+  bool on_chunk(PooledConnection& pooled, RequestKey key, int status, std::string_view chunk);
+  void on_down(PooledConnection& pooled, net::CloseReason reason);
+  void on_set_up_answer(PooledConnection& pooled, CallId call, Response& response);
   void on_event(Server& server, const settings::SseEvent& event);
-  void session_over(Server& server, const std::string& id, Outcome outcome, core::Cause cause);
-  void follow_events(Server& server);
-  void again_events(Server& server);
+  void on_session_ended(Server& server, const std::string& id, Outcome outcome, core::Cause cause);
+  void open_event_stream(Server& server);
+  void reopen_event_stream(Server& server);
   void check_sessions(Server& server);
   void delete_session(Server& server, const std::string& id, core::Cause cause);
-  void release_out(Server& server, const std::string& id, bool confirmed);
-  void take_back(Server& server);
-  /// What waits has not left: it ends as moot.
+  void on_release_ended(Server& server, const std::string& id, bool confirmed);
+  void withdraw_set_ups(Server& server);
+  /// Ends all attempts whose set-up still waits, as not sent.
   void end_waiting(Server& server);
-  void stop_timers(const Server& server);
-  /// A connection that was closed from here tells nothing: what was out on it is forgotten.
-  void forget_out(Server& server, const Conn& conn);
-  /// By value: it drops the attempt that the reference may belong to.
-  void end(core::AttemptRef ref, core::AttemptEnd what);
-  void end_later(core::AttemptRef ref, core::AttemptEnd what);
-  void apply(translate::Versions::Actions actions);
-  void look_at_versions();
-  void drop(CallId call);
-  Attempt* find(const core::AttemptRef& attempt);
+  void cancel_timers(const Server& server);
+  /// Forgets the requests that are outstanding on a connection that the pool has closed, since it reports
+  /// none.
+  void forget_outstanding(Server& server, const PooledConnection& pooled);
+  /// Takes the reference by value because it may belong to the attempt that is removed.
+  void end_attempt(core::AttemptRef ref, core::AttemptEnd attempt_end);
+  void end_attempt_later(core::AttemptRef ref, core::AttemptEnd attempt_end);
+  void apply_version_actions(translate::Versions::Actions actions);
+  void schedule_version_tick();
+  void remove_attempt(CallId call);
+  Attempt* find_attempt(const core::AttemptRef& ref);
 
   net::Loop& loop_;
-  core::CallTable& table_;
-  core::EndpointRegistry& servers_;
+  core::CallTable& call_table_;
+  core::EndpointRegistry& endpoints_;
   core::Counters& counters_;
-  net::ResourceLimits bounds_;
+  net::ResourceLimits resource_limits_;
   const translate::Translator& translator_;
-  Duration connect_limit_;
-  Duration max_stay_away_;
-  Configured configured_;
+  Duration connect_timeout_;
+  Duration max_retry_after_;
+  ConfiguredVersion configured_version_;
   OnChange on_change_;
   translate::Versions versions_;
   BodyReader reader_;
-  translate::Record record_, said_;
-  std::map<ServerId, std::unique_ptr<Server>> by_id_;
+  translate::Record record_, translated_;  // reused for each message
+  std::map<ServerId, std::unique_ptr<Server>> servers_by_id_;
   std::unordered_map<CallId, Attempt> attempts_;
-  std::map<std::pair<ServerId, std::string>, CallId> by_session_;
-  std::unordered_map<Key, Out> out_;
-  Key next_key_ = 1;
-  std::uint64_t next_connection_ = 1;
-  std::size_t connections_ = 0;
-  core::TimerWheel::Handle look_ = 0;
-  net::log::RateLimiter log_bad_, log_link_;
+  std::map<std::pair<ServerId, std::string>, CallId> calls_by_session_;
+  std::unordered_map<RequestKey, OutstandingRequest> outstanding_;
+  RequestKey next_key_ = 1;
+  std::uint64_t next_connection_number_ = 1;
+  std::size_t connection_count_ = 0;
+  core::TimerWheel::Handle version_timer_ = 0;
+  net::log::RateLimiter invalid_message_log_, connection_log_;
 };
 
 }  // namespace amberknot::http2
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -1,5 +1,6 @@
-// The session API's bodies, and the HTTP/2 connection against a scripted server: each hard case of RFC 9113
-// that decides whether something ran.
+// Bodies of the session API, and the HTTP/2 connection against a scripted server. Guards against a request
+// that is reported as not processed although the server may have run it, and against requests that end twice
+// or never: GOAWAY, resets, limits, cancels, unanswered PINGs and lost connections (RFC 9113).
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
@@ -17,86 +18,86 @@
 
 namespace {
 
-std::span<char> of(std::string& text) {
+std::span<char> span_of(std::string& text) {
   return {text.data(), text.size()};
 }
 
-struct Recorder : Connection::Handler {
-  struct Ended {
+struct RecordingHandler : Connection::Handler {
+  struct Result {
     std::optional<Response> response;
     std::optional<Failure> failure;
     int times = 0;
   };
-  void on_up(Connection& /*c*/) override { ++ups; }
-  void on_response(Connection& /*c*/, Connection::Key key, Response& response) override {
-    ended[key].response = std::move(response);
-    ++ended[key].times;
-    if (then) then(key);
+  void on_up(Connection& /*c*/) override { ++up_count; }
+  void on_response(Connection& /*c*/, Connection::RequestKey key, Response& response) override {
+    results[key].response = std::move(response);
+    ++results[key].times;
+    if (after_end) after_end(key);
   }
-  void on_failure(Connection& /*c*/, Connection::Key key, Failure failure) override {
-    CHECK_FALSE(down);
-    ended[key].failure = failure;
-    ++ended[key].times;
-    if (then) then(key);
+  void on_failure(Connection& /*c*/, Connection::RequestKey key, Failure failure) override {
+    CHECK_FALSE(down_reason);
+    results[key].failure = failure;
+    ++results[key].times;
+    if (after_end) after_end(key);
   }
-  bool on_chunk(Connection& /*c*/, Connection::Key key, int status, std::string_view chunk) override {
+  bool on_chunk(Connection& /*c*/, Connection::RequestKey key, int status, std::string_view chunk) override {
     chunks[key] += chunk;
     statuses[key] = status;
-    return go_on;
+    return continue_stream;
   }
-  void on_room(Connection& /*c*/) override { ++rooms; }
-  void on_health(Connection& /*c*/, bool healthy) override { health.push_back(healthy); }
-  void on_going_away(Connection& /*c*/) override { ++goings; }
-  void on_down(Connection& /*c*/, net::CloseReason why) override { down = why; }
+  void on_capacity(Connection& /*c*/) override { ++capacity_count; }
+  void on_health_changed(Connection& /*c*/, bool healthy) override { health_changes.push_back(healthy); }
+  void on_going_away(Connection& /*c*/) override { ++going_away_count; }
+  void on_down(Connection& /*c*/, net::CloseReason reason) override { down_reason = reason; }
 
-  std::map<Connection::Key, Ended> ended;
-  std::map<Connection::Key, std::string> chunks;
-  std::map<Connection::Key, int> statuses;
-  std::function<void(Connection::Key)> then;
-  std::vector<bool> health;
-  std::optional<net::CloseReason> down;
-  int ups = 0, rooms = 0, goings = 0;
-  bool go_on = true;
+  std::map<Connection::RequestKey, Result> results;
+  std::map<Connection::RequestKey, std::string> chunks;
+  std::map<Connection::RequestKey, int> statuses;
+  std::function<void(Connection::RequestKey)> after_end;
+  std::vector<bool> health_changes;
+  std::optional<net::CloseReason> down_reason;
+  int up_count = 0, capacity_count = 0, going_away_count = 0;
+  bool continue_stream = true;
 };
 
-struct Http2Bench {
-  explicit Http2Bench(Http2Server::Options options = {}, Connection::Limits limits = {})
+struct Http2Fixture {
+  explicit Http2Fixture(Http2Server::Options options = {}, Connection::Limits limits = {})
       : server(loop, options), connection(std::make_shared<Connection>(loop, recorder, limits)) {
     connection->connect(server.endpoint());
-    until([&] { return connection->is_up(); });
+    wait_until([&] { return connection->is_up(); });
   }
-  ~Http2Bench() { connection->close(); }
-  void until(const std::function<bool()>& holds) {
-    const Instant limit = net::Loop::now() + std::chrono::seconds{5};
-    bool held = holds();
-    while (!held && net::Loop::now() < limit) {
+  ~Http2Fixture() { connection->close(); }
+  void wait_until(const std::function<bool()>& condition) {
+    const Instant deadline = net::Loop::now() + std::chrono::seconds{5};
+    bool is_met = condition();
+    while (!is_met && net::Loop::now() < deadline) {
       loop.io.run_one_for(milliseconds{10});
-      held = holds();
+      is_met = condition();
     }
-    REQUIRE(held);
+    REQUIRE(is_met);
   }
-  bool post(Connection::Key key, const std::string& body = "{}") {
+  bool post(Connection::RequestKey key, const std::string& body = "{}") {
     return connection->request(key, {"POST", "/sessions", {{"content-type", "application/json"}}, body});
   }
   Http2Server::Peer& peer() { return *server.peers.front(); }
-  /// The stream on which the request with this body came, once it is whole.
-  std::int32_t came(const std::string& body) {
-    std::int32_t id = 0;
-    until([&] {
+  /// Waits until the request with this body has arrived completely; returns its stream.
+  std::int32_t wait_for_request(const std::string& body) {
+    std::int32_t stream_id = 0;
+    wait_until([&] {
       for (const auto& [stream, request] : peer().requests) {
-        if (request.whole && request.body == body) id = stream;
+        if (request.complete && request.body == body) stream_id = stream;
       }
-      return id != 0;
+      return stream_id != 0;
     });
-    return id;
+    return stream_id;
   }
-  void ends(Connection::Key key) {
-    until([&] { return recorder.ended.contains(key); });
+  void wait_for_end(Connection::RequestKey key) {
+    wait_until([&] { return recorder.results.contains(key); });
   }
 
   net::Loop loop;
   Http2Server server;
-  Recorder recorder;
+  RecordingHandler recorder;
   std::shared_ptr<Connection> connection;
 };
 
@@ -104,10 +105,10 @@
 
 // ---- bodies ---------------------------------------------------------------------------------------------
 
-TEST_CASE("a set-up is written as the schema wants it, and read back the same") {
+TEST_CASE("a written set-up conforms to its schema and reads back unchanged") {
   BodyReader reader;
   const auto& fields = translate::find_dialect("session-2")->of(translate::Kind::kSetUp);
-  translate::Record record, back;
+  translate::Record record, read_back;
   record.set(translate::index_of(fields, "id"), std::string_view("00112233445566aa"));
   record.set(translate::index_of(fields, "class"), std::string_view("card-activate"));
   record.set(translate::index_of(fields, "number"), std::string_view("77aa"));
@@ -119,30 +120,30 @@
   record.set(translate::index_of(fields, "amountMinor"), std::int64_t{999'999'999'999});
   auto body = write_body(fields, record);
   std::string fault;
-  REQUIRE_MESSAGE(reader.read_set_up(2, of(body), back, fault), fault);
+  REQUIRE_MESSAGE(reader.read_set_up(2, span_of(body), read_back, fault), fault);
   for (std::size_t i = 0; i < fields.size(); ++i) {
-    REQUIRE(back.has(i) == record.has(i));
+    REQUIRE(read_back.has(i) == record.has(i));
     if (!record.has(i)) continue;
     if (translate::is_textual(fields[i].type)) {
-      CHECK(back.text(i) == record.text(i));
+      CHECK(read_back.text(i) == record.text(i));
     } else {
-      CHECK(back.number(i) == record.number(i));
+      CHECK(read_back.number(i) == record.number(i));
     }
   }
-  auto other = body;
-  CHECK_FALSE(reader.read_set_up(1, of(other), back, fault));  // members that version 1 does not have
+  auto body_copy = body;
+  // The body has members that version 1 does not allow.
+  CHECK_FALSE(reader.read_set_up(1, span_of(body_copy), read_back, fault));
 }
 
-TEST_CASE("an answer is read, or refused with the path of the field") {
+TEST_CASE("an invalid answer is rejected with the path of the field at fault") {
   struct Case {
     std::string body;
     std::uint32_t version;
-    const char* fault;  ///< null: it is read
+    const char* expected_fault;  ///< part of the message; null if the body is valid
   };
   const std::vector<Case> cases = {
       {R"({"id":"00112233445566aa","description":"d"})", 1, nullptr},
-      {R"({"id":"00112233445566aa","description":"d","later":[1,{}]})", 1,
-       nullptr},  // members of a later day
+      {R"({"id":"00112233445566aa","description":"d","later":[1,{}]})", 1, nullptr},  // unknown members
       {R"({"id":"00112233445566aa","description":"d"})", 2, "region"},
       {R"({"id":"00112233445566aa","description":"d","region":"r"})", 2, nullptr},
       {R"({"id":"00112233445566AA","description":"d"})", 1, "id"},
@@ -154,52 +155,54 @@
       {std::string("{}\0", 3), 1, "zero byte"},
       {"{\"id\":\"00112233445566aa\",\"description\":\"\xff\"}", 1, "is not JSON"},
       {"{\"id\":\"00112233445566aa\",\"description\":\"" + std::string(8193, 'x') + "\"}", 1, "description"},
-      // 8192 characters, and more bytes than that.
+      // 8192 characters, but more bytes than the field allows.
       {"{\"id\":\"00112233445566aa\",\"description\":\"" + std::string(8190, 'x') + "\xc3\xa9\xc3\xa9\"}", 1,
        "description"},
       {std::string(5000, '['), 1, "is not JSON"},
       {"{\"id\xf0:", 1, "is not JSON"},
-      {R"({"id":"00112233445566aa","description":"\ude0b"})", 1, "description"},  // half a pair
+      {R"({"id":"00112233445566aa","description":"\ude0b"})", 1, "description"},  // unpaired surrogate
       {"", 1, "is not JSON"},
   };
   BodyReader reader;
   translate::Record record;
-  for (auto one : cases) {
-    CAPTURE(one.body.substr(0, 80));
+  for (auto test_case : cases) {
+    CAPTURE(test_case.body.substr(0, 80));
     std::string fault;
-    CHECK(reader.read_answer(one.version, of(one.body), record, fault) == (one.fault == nullptr));
-    if (one.fault != nullptr) CHECK_MESSAGE(fault.find(one.fault) != std::string::npos, fault);
+    CHECK(reader.read_answer(test_case.version, span_of(test_case.body), record, fault) ==
+          (test_case.expected_fault == nullptr));
+    if (test_case.expected_fault != nullptr)
+      CHECK_MESSAGE(fault.find(test_case.expected_fault) != std::string::npos, fault);
   }
 }
 
-TEST_CASE("problems, versions and events are read") {
+TEST_CASE("problems, versions and events are read, and invalid ones rejected") {
   BodyReader reader;
   std::string fault;
-  const std::vector<std::pair<std::string, std::string>> types = {
+  const std::vector<std::pair<std::string, std::string>> problems = {
       {R"({"type":"https://kartu.example/problems/no-line","status":503})", "no-line"},
       {R"({"type":"no-line/"})", "no-line"},
       {R"({"type":"urn:problem:over-share"})", "over-share"},
       {R"({"type":"about:blank"})", "blank"},
       {R"({})", ""},
   };
-  for (auto [body, type] : types) {
-    const auto problem = reader.read_problem(of(body), fault);
+  for (auto [body, type] : problems) {
+    const auto problem = reader.read_problem(span_of(body), fault);
     REQUIRE(problem);
     CHECK(problem->type == type);
   }
-  std::string bad = R"({"type":5})";
-  CHECK_FALSE(reader.read_problem(of(bad), fault));
+  std::string invalid_problem = R"({"type":5})";
+  CHECK_FALSE(reader.read_problem(span_of(invalid_problem), fault));
   std::string versions = R"({"versions":[1,2,9],"process":"p1"})";
-  const auto read = reader.read_versions(of(versions), fault);
-  REQUIRE(read);
-  CHECK(read->versions == std::vector<std::uint32_t>{1, 2, 9});
-  CHECK(read->process == "p1");
+  const auto versions_body = reader.read_versions(span_of(versions), fault);
+  REQUIRE(versions_body);
+  CHECK(versions_body->versions == std::vector<std::uint32_t>{1, 2, 9});
+  CHECK(versions_body->process == "p1");
   versions = R"({"versions":[]})";
-  CHECK_FALSE(reader.read_versions(of(versions), fault));
+  CHECK_FALSE(reader.read_versions(span_of(versions), fault));
 
   using Kind = SessionEvent::Kind;
   const auto event = [&](const char* name, std::string data) {
-    return reader.read_event(name, of(data), fault);
+    return reader.read_event(name, span_of(data), fault);
   };
   const auto released = event("released", R"({"id":"00112233445566aa","cause":16})");
   REQUIRE(released);
@@ -207,7 +210,7 @@
   CHECK(released->cause == 16);
   CHECK_FALSE(event("released", R"({"id":"00112233445566aa"})"));
   CHECK(event("cut", R"({"id":"00112233445566aa"})")->kind == Kind::kAborted);
-  CHECK(event("lost", R"({"before":17})")->before == 17);
+  CHECK(event("lost", R"({"before":17})")->lost_before == 17);
   CHECK_FALSE(event("lost", R"({"before":-1})"));
   const auto load = event("load", R"({"x0":12,"x1":40.5})");
   REQUIRE(load);
@@ -219,239 +222,243 @@
 
 // ---- connection -----------------------------------------------------------------------------------------
 
-TEST_CASE("requests are answered, each once, whatever the order") {
-  Http2Bench bench;
-  REQUIRE(bench.post(1, "one"));
-  REQUIRE(bench.post(2, "two"));
-  const auto first = bench.came("one");
-  const auto second = bench.came("two");
-  CHECK(bench.peer().requests[first].path == "/sessions");
-  CHECK(bench.peer().requests[first].method == "POST");
-  bench.peer().respond(second, 503, {{"retry-after", "7"}, {"content-type", "application/problem+json"}},
-                       "{}");
-  bench.ends(2);
-  CHECK_FALSE(bench.recorder.ended.contains(1));
-  bench.peer().respond(first, 201, {}, "answer");
-  bench.ends(1);
-  CHECK(bench.recorder.ended[1].response->status == 201);
-  CHECK(bench.recorder.ended[1].response->body == "answer");
-  CHECK(bench.recorder.ended[2].response->retry_after == "7");
-  CHECK(bench.recorder.ended[2].response->content_type == "application/problem+json");
-  CHECK(bench.connection->out() == 0);
+TEST_CASE("each request gets its own response once, in any order of responses") {
+  Http2Fixture fixture;
+  REQUIRE(fixture.post(1, "one"));
+  REQUIRE(fixture.post(2, "two"));
+  const auto first = fixture.wait_for_request("one");
+  const auto second = fixture.wait_for_request("two");
+  CHECK(fixture.peer().requests[first].path == "/sessions");
+  CHECK(fixture.peer().requests[first].method == "POST");
+  fixture.peer().respond(second, 503, {{"retry-after", "7"}, {"content-type", "application/problem+json"}},
+                         "{}");
+  fixture.wait_for_end(2);
+  CHECK_FALSE(fixture.recorder.results.contains(1));
+  fixture.peer().respond(first, 201, {}, "answer");
+  fixture.wait_for_end(1);
+  CHECK(fixture.recorder.results[1].response->status == 201);
+  CHECK(fixture.recorder.results[1].response->body == "answer");
+  CHECK(fixture.recorder.results[2].response->retry_after == "7");
+  CHECK(fixture.recorder.results[2].response->content_type == "application/problem+json");
+  CHECK(fixture.connection->outstanding_requests() == 0);
 }
 
-TEST_CASE("the server's bound on streams binds, also when it is lowered and raised on the way") {
+TEST_CASE("the server's limit on concurrent streams is kept, also after it is lowered or raised") {
   Http2Server::Options options;
-  options.streams = 2;
-  Http2Bench bench(options);
-  CHECK(bench.post(1, "a"));
-  CHECK(bench.post(2, "b"));
-  CHECK_FALSE(bench.post(3, "c"));
-  const auto a = bench.came("a");
-  const auto b = bench.came("b");
-  bench.peer().allow(1);
-  bench.peer().respond(a, 201, {}, "x");  // behind the new bound on the wire
-  bench.ends(1);
-  CHECK_FALSE(bench.connection->has_room());  // one is out, and one is allowed
-  bench.peer().respond(b, 201, {}, "x");
-  bench.ends(2);
-  CHECK(bench.post(3, "c"));
-  CHECK_FALSE(bench.post(4, "d"));
-  const auto rooms = bench.recorder.rooms;
-  bench.peer().allow(3);
-  bench.until([&] { return bench.recorder.rooms > rooms; });
-  CHECK(bench.post(4, "d"));
+  options.max_streams = 2;
+  Http2Fixture fixture(options);
+  CHECK(fixture.post(1, "a"));
+  CHECK(fixture.post(2, "b"));
+  CHECK_FALSE(fixture.post(3, "c"));
+  const auto a = fixture.wait_for_request("a");
+  const auto b = fixture.wait_for_request("b");
+  fixture.peer().set_max_streams(1);
+  fixture.peer().respond(a, 201, {}, "x");  // arrives after the new limit
+  fixture.wait_for_end(1);
+  CHECK_FALSE(fixture.connection->has_capacity());  // one request is outstanding and one is allowed
+  fixture.peer().respond(b, 201, {}, "x");
+  fixture.wait_for_end(2);
+  CHECK(fixture.post(3, "c"));
+  CHECK_FALSE(fixture.post(4, "d"));
+  const auto capacity_count_before = fixture.recorder.capacity_count;
+  fixture.peer().set_max_streams(3);
+  fixture.wait_until([&] { return fixture.recorder.capacity_count > capacity_count_before; });
+  CHECK(fixture.post(4, "d"));
 }
 
-TEST_CASE("GOAWAY: above the last stream nothing ran, below it may finish") {
-  Http2Bench bench;
-  bench.post(1, "a");
-  bench.post(2, "b");
-  const auto a = bench.came("a");
-  bench.came("b");
-  bench.peer().go_away(a);
-  bench.ends(2);
-  CHECK(bench.recorder.ended[2].failure == Failure::kNeverRan);
-  CHECK(bench.recorder.goings == 1);
-  CHECK_FALSE(bench.connection->has_room());
-  CHECK_FALSE(bench.recorder.ended.contains(1));
-  bench.peer().respond(a, 201, {}, "late");
-  bench.ends(1);
-  CHECK(bench.recorder.ended[1].response->status == 201);
+TEST_CASE("after GOAWAY, requests above the last stream count as not processed and the others may finish") {
+  Http2Fixture fixture;
+  fixture.post(1, "a");
+  fixture.post(2, "b");
+  const auto a = fixture.wait_for_request("a");
+  fixture.wait_for_request("b");
+  fixture.peer().send_goaway(a);
+  fixture.wait_for_end(2);
+  CHECK(fixture.recorder.results[2].failure == Failure::kNotProcessed);
+  CHECK(fixture.recorder.going_away_count == 1);
+  CHECK_FALSE(fixture.connection->has_capacity());
+  CHECK_FALSE(fixture.recorder.results.contains(1));
+  fixture.peer().respond(a, 201, {}, "late");
+  fixture.wait_for_end(1);
+  CHECK(fixture.recorder.results[1].response->status == 201);
 }
 
-TEST_CASE("a reset proves that nothing ran only where it says so") {
-  const std::vector<std::pair<std::uint32_t, Failure>> cases = {{NGHTTP2_REFUSED_STREAM, Failure::kNeverRan},
-                                                                {NGHTTP2_ENHANCE_YOUR_CALM, Failure::kCalm},
-                                                                {NGHTTP2_CANCEL, Failure::kReset},
-                                                                {NGHTTP2_INTERNAL_ERROR, Failure::kReset},
-                                                                {NGHTTP2_NO_ERROR, Failure::kReset}};
-  Http2Bench bench;
-  Connection::Key key = 0;
+TEST_CASE("a stream reset counts as not processed only with REFUSED_STREAM") {
+  const std::vector<std::pair<std::uint32_t, Failure>> cases = {
+      {NGHTTP2_REFUSED_STREAM, Failure::kNotProcessed},
+      {NGHTTP2_ENHANCE_YOUR_CALM, Failure::kEnhanceYourCalm},
+      {NGHTTP2_CANCEL, Failure::kReset},
+      {NGHTTP2_INTERNAL_ERROR, Failure::kReset},
+      {NGHTTP2_NO_ERROR, Failure::kReset}};
+  Http2Fixture fixture;
+  Connection::RequestKey key = 0;
   for (const auto& [code, failure] : cases) {
     CAPTURE(code);
     ++key;
-    REQUIRE(bench.post(key, std::to_string(key)));
-    bench.peer().reset(bench.came(std::to_string(key)), code);
-    bench.ends(key);
-    CHECK(bench.recorder.ended[key].failure == failure);
+    REQUIRE(fixture.post(key, std::to_string(key)));
+    fixture.peer().reset_stream(fixture.wait_for_request(std::to_string(key)), code);
+    fixture.wait_for_end(key);
+    CHECK(fixture.recorder.results[key].failure == failure);
   }
-  CHECK(bench.connection->is_up());
-  // A whole answer that is followed by a reset is an answer.
-  REQUIRE(bench.post(++key, "early"));
-  const auto id = bench.came("early");
-  bench.peer().respond(id, 429, {}, "x");
-  bench.ends(key);
-  CHECK(bench.recorder.ended[key].response->status == 429);
+  CHECK(fixture.connection->is_up());
+  // A complete response is reported as a response, whatever its status.
+  REQUIRE(fixture.post(++key, "early"));
+  const auto stream_id = fixture.wait_for_request("early");
+  fixture.peer().respond(stream_id, 429, {}, "x");
+  fixture.wait_for_end(key);
+  CHECK(fixture.recorder.results[key].response->status == 429);
 }
 
-TEST_CASE("heads and bodies that are too large, cut short or endless end their stream only") {
-  Http2Bench bench;
-  SUBCASE("a large head") {
-    bench.post(1, "a");
-    bench.peer().respond(bench.came("a"), 201, {{"x-long", std::string(9000, 'x')}}, "b");
-    bench.ends(1);
-    CHECK(bench.recorder.ended[1].failure == Failure::kTooLarge);
+TEST_CASE("a head or body that is too large or too short ends its stream and not the connection") {
+  Http2Fixture fixture;
+  SUBCASE("header fields that exceed the limit") {
+    fixture.post(1, "a");
+    fixture.peer().respond(fixture.wait_for_request("a"), 201, {{"x-long", std::string(9000, 'x')}}, "b");
+    fixture.wait_for_end(1);
+    CHECK(fixture.recorder.results[1].failure == Failure::kTooLarge);
   }
-  SUBCASE("an endless body") {
-    bench.post(1, "a");
-    const auto id = bench.came("a");
-    bench.peer().respond(id, 201, {}, std::string(10'000, 'x'), false);
-    bench.peer().data(id, std::string(10'000, 'x'));
-    bench.ends(1);
-    CHECK(bench.recorder.ended[1].failure == Failure::kTooLarge);
-    bench.until([&] { return bench.peer().requests[id].reset; });
-    CHECK(bench.peer().requests[id].code == NGHTTP2_CANCEL);
+  SUBCASE("a body that exceeds the limit") {
+    fixture.post(1, "a");
+    const auto stream_id = fixture.wait_for_request("a");
+    fixture.peer().respond(stream_id, 201, {}, std::string(10'000, 'x'), false);
+    fixture.peer().send_data(stream_id, std::string(10'000, 'x'));
+    fixture.wait_for_end(1);
+    CHECK(fixture.recorder.results[1].failure == Failure::kTooLarge);
+    fixture.wait_until([&] { return fixture.peer().requests[stream_id].was_reset; });
+    CHECK(fixture.peer().requests[stream_id].reset_code == NGHTTP2_CANCEL);
   }
-  SUBCASE("a body shorter than announced") {
-    bench.post(1, "a");
-    bench.peer().respond(bench.came("a"), 201, {{"content-length", "10"}}, "12345");
-    bench.ends(1);
-    CHECK(bench.recorder.ended[1].failure == Failure::kReset);
+  SUBCASE("a body shorter than its content-length") {
+    fixture.post(1, "a");
+    fixture.peer().respond(fixture.wait_for_request("a"), 201, {{"content-length", "10"}}, "12345");
+    fixture.wait_for_end(1);
+    CHECK(fixture.recorder.results[1].failure == Failure::kReset);
   }
-  CHECK(bench.recorder.ended[1].times == 1);
-  REQUIRE(bench.post(2, "next"));
-  bench.peer().respond(bench.came("next"), 201, {}, "fine");
-  bench.ends(2);
-  CHECK(bench.recorder.ended[2].response->body == "fine");
+  CHECK(fixture.recorder.results[1].times == 1);
+  REQUIRE(fixture.post(2, "next"));
+  fixture.peer().respond(fixture.wait_for_request("next"), 201, {}, "fine");
+  fixture.wait_for_end(2);
+  CHECK(fixture.recorder.results[2].response->body == "fine");
 }
 
-TEST_CASE("a window that never opens holds its own request only, which can be cancelled") {
+TEST_CASE("a closed flow-control window delays only its own request, which can be cancelled") {
   Http2Server::Options options;
-  options.window = 0;
-  Http2Bench bench(options);
-  REQUIRE(bench.post(1, "never read"));
-  bench.until([&] { return !bench.peer().requests.empty(); });
-  REQUIRE(bench.connection->request(2, {"GET", "/versions"}));
-  bench.until([&] { return bench.peer().requests.size() == 2; });
-  const auto get = bench.peer().requests.rbegin()->first;
-  bench.peer().respond(get, 200, {}, "{}");
-  bench.ends(2);
-  CHECK(bench.connection->has_left(1));
-  bench.connection->cancel(1);
-  const auto post = bench.peer().requests.begin()->first;
-  bench.until([&] { return bench.peer().requests[post].reset; });
-  CHECK_FALSE(bench.recorder.ended.contains(1));
-  CHECK(bench.connection->out() == 0);
+  options.initial_window_size = 0;
+  Http2Fixture fixture(options);
+  REQUIRE(fixture.post(1, "never read"));
+  fixture.wait_until([&] { return !fixture.peer().requests.empty(); });
+  REQUIRE(fixture.connection->request(2, {"GET", "/versions"}));
+  fixture.wait_until([&] { return fixture.peer().requests.size() == 2; });
+  const auto get_stream = fixture.peer().requests.rbegin()->first;
+  fixture.peer().respond(get_stream, 200, {}, "{}");
+  fixture.wait_for_end(2);
+  CHECK(fixture.connection->has_started_writing(1));
+  fixture.connection->cancel(1);
+  const auto post_stream = fixture.peer().requests.begin()->first;
+  fixture.wait_until([&] { return fixture.peer().requests[post_stream].was_reset; });
+  CHECK_FALSE(fixture.recorder.results.contains(1));
+  CHECK(fixture.connection->outstanding_requests() == 0);
 }
 
-TEST_CASE("an answer that crosses our cancel is dropped, and the next request is not harmed") {
-  Http2Bench bench;
-  bench.post(1, "a");
-  const auto id = bench.came("a");
-  bench.connection->cancel(1);
-  bench.peer().respond(id, 201, {}, "crossing");  // the server has not read the cancel
-  bench.until([&] { return bench.peer().requests[id].reset; });
-  bench.post(2, "b");
-  bench.peer().respond(bench.came("b"), 201, {}, "x");
-  bench.ends(2);
-  CHECK_FALSE(bench.recorder.ended.contains(1));
+TEST_CASE("a response that crosses a cancel is dropped, and the next request is answered") {
+  Http2Fixture fixture;
+  fixture.post(1, "a");
+  const auto stream_id = fixture.wait_for_request("a");
+  fixture.connection->cancel(1);
+  fixture.peer().respond(stream_id, 201, {}, "crossing");  // the server has not read the cancel yet
+  fixture.wait_until([&] { return fixture.peer().requests[stream_id].was_reset; });
+  fixture.post(2, "b");
+  fixture.peer().respond(fixture.wait_for_request("b"), 201, {}, "x");
+  fixture.wait_for_end(2);
+  CHECK_FALSE(fixture.recorder.results.contains(1));
 }
 
-TEST_CASE("a PING unanswered while data still comes puts the connection in doubt, then ends it") {
+TEST_CASE(
+    "an unanswered PING makes the connection unhealthy and then closes it, although data still arrives") {
   Http2Server::Options options;
   options.answer_pings = false;
   Connection::Limits limits;
-  limits.ping_every = milliseconds{50};
-  limits.ping_patience = milliseconds{200};
-  Http2Bench bench(options, limits);
-  bench.connection->request(1, {"GET", "/events", {}, "", true});
-  bench.until([&] { return !bench.peer().requests.empty(); });
-  const auto id = bench.peer().requests.begin()->first;
-  bench.peer().respond(id, 200, {}, "x", false);
-  bench.until([&] {
-    if (!bench.peer().closed) bench.peer().data(id, "x");
-    return !bench.recorder.health.empty();
+  limits.ping_interval = milliseconds{50};
+  limits.ping_timeout = milliseconds{200};
+  Http2Fixture fixture(options, limits);
+  fixture.connection->request(1, {"GET", "/events", {}, "", true});
+  fixture.wait_until([&] { return !fixture.peer().requests.empty(); });
+  const auto stream_id = fixture.peer().requests.begin()->first;
+  fixture.peer().respond(stream_id, 200, {}, "x", false);
+  fixture.wait_until([&] {
+    if (!fixture.peer().closed) fixture.peer().send_data(stream_id, "x");
+    return !fixture.recorder.health_changes.empty();
   });
-  CHECK_FALSE(bench.recorder.health.front());
-  CHECK_FALSE(bench.connection->has_room());
-  bench.until([&] {
-    if (!bench.peer().closed) bench.peer().data(id, "x");
-    return bench.recorder.down.has_value();
+  CHECK_FALSE(fixture.recorder.health_changes.front());
+  CHECK_FALSE(fixture.connection->has_capacity());
+  fixture.wait_until([&] {
+    if (!fixture.peer().closed) fixture.peer().send_data(stream_id, "x");
+    return fixture.recorder.down_reason.has_value();
   });
-  CHECK(bench.recorder.ended[1].failure == Failure::kReset);
-  CHECK(bench.recorder.chunks[1].size() > 2);
+  CHECK(fixture.recorder.results[1].failure == Failure::kReset);
+  CHECK(fixture.recorder.chunks[1].size() > 2);
 }
 
-TEST_CASE("a connection that is lost tells each request once, and then that it is down") {
-  Http2Bench bench;
-  bench.post(1, "a");
-  bench.post(2, "b");
-  bench.came("b");
+TEST_CASE("a lost connection reports each request once and then on_down") {
+  Http2Fixture fixture;
+  fixture.post(1, "a");
+  fixture.post(2, "b");
+  fixture.wait_for_request("b");
   SUBCASE("reset") {
-    bench.peer().die();
+    fixture.peer().reset_connection();
   }
-  SUBCASE("a frame that cannot be") {
-    bench.peer().raw(std::string("\x00\x00\x01\x06\x00\x00\x00\x00\x00z", 10));
+  SUBCASE("invalid frame") {
+    fixture.peer().send_raw(std::string("\x00\x00\x01\x06\x00\x00\x00\x00\x00z", 10));
   }
-  SUBCASE("from inside an answer") {
-    bench.recorder.then = [&](Connection::Key key) {
-      if (key == 1) bench.connection->fail(net::CloseReason::kReset);
+  SUBCASE("closed while a response is handled") {
+    fixture.recorder.after_end = [&](Connection::RequestKey key) {
+      if (key == 1) fixture.connection->fail(net::CloseReason::kReset);
     };
-    bench.peer().respond(bench.came("a"), 201, {}, "x");
+    fixture.peer().respond(fixture.wait_for_request("a"), 201, {}, "x");
   }
-  bench.until([&] { return bench.recorder.down.has_value(); });
-  CHECK(bench.recorder.ended[1].times == 1);
-  CHECK(bench.recorder.ended[2].times == 1);
-  CHECK(bench.recorder.ended[2].failure == Failure::kReset);
-  CHECK(bench.connection->out() == 0);
-  CHECK_FALSE(bench.post(3));
+  fixture.wait_until([&] { return fixture.recorder.down_reason.has_value(); });
+  CHECK(fixture.recorder.results[1].times == 1);
+  CHECK(fixture.recorder.results[2].times == 1);
+  CHECK(fixture.recorder.results[2].failure == Failure::kReset);
+  CHECK(fixture.connection->outstanding_requests() == 0);
+  CHECK_FALSE(fixture.post(3));
 }
 
-TEST_CASE("what cannot be written is not taken, and what never left is told as such") {
+TEST_CASE(
+    "a blocked connection accepts no requests, and a request of which nothing was written counts as not "
+    "processed") {
   Connection::Limits limits;
-  limits.streams = 10'000;
+  limits.max_streams = 10'000;
   Http2Server::Options options;
-  options.streams = 10'000;
-  options.window = 1 << 20;
-  Http2Bench bench(options, limits);
-  // The server's loop is ours, and stands still: the socket fills up.
+  options.max_streams = 10'000;
+  options.initial_window_size = 1 << 20;
+  Http2Fixture fixture(options, limits);
+  // The server runs in the same loop, which does not run here, so the socket's buffer fills up.
   const std::string body(8000, 'x');
-  Connection::Key key = 0;
-  while (key < 5000 && bench.post(key + 1, body)) ++key;
-  // By the window of the connection only so much data goes; heads go on until the socket is full or this
-  // ends.
+  Connection::RequestKey key = 0;
+  while (key < 5000 && fixture.post(key + 1, body)) ++key;
+  // The connection's flow-control window limits the data; HEADERS frames go out until the socket is full or
+  // the loop above ends.
   CHECK(key > 2);
-  bench.connection->fail(net::CloseReason::kReset);
-  CHECK(bench.recorder.ended.size() == key);
-  std::size_t never = 0;
-  for (const auto& [one, ended] : bench.recorder.ended) {
-    CHECK(ended.times == 1);
-    never += ended.failure == Failure::kNeverRan ? 1 : 0;
+  fixture.connection->fail(net::CloseReason::kReset);
+  CHECK(fixture.recorder.results.size() == key);
+  std::size_t not_processed = 0;
+  for (const auto& [request_key, result] : fixture.recorder.results) {
+    CHECK(result.times == 1);
+    not_processed += result.failure == Failure::kNotProcessed ? 1 : 0;
   }
-  CHECK(never <= 1);  // the last one at most: nothing is serialized behind what waits
+  CHECK(not_processed <= 1);  // at most the last one, because nothing is serialized while output waits
 }
 
-TEST_CASE("who does not speak HTTP/2 is given up") {
+TEST_CASE("a server that does not speak HTTP/2 is given up after the connect timeout") {
   net::Loop loop;
-  asio::ip::tcp::acceptor mute(loop.io, {asio::ip::make_address("127.0.0.1"), 0});
-  Recorder recorder;
+  asio::ip::tcp::acceptor silent_server(loop.io, {asio::ip::make_address("127.0.0.1"), 0});
+  RecordingHandler recorder;
   Connection::Limits limits;
-  limits.connect = milliseconds{100};
+  limits.connect_timeout = milliseconds{100};
   const auto connection = std::make_shared<Connection>(loop, recorder, limits);
-  connection->connect(mute.local_endpoint());
-  const Instant limit = net::Loop::now() + std::chrono::seconds{5};
-  while (!recorder.down && net::Loop::now() < limit) loop.io.run_one_for(milliseconds{10});
-  CHECK(recorder.down == net::CloseReason::kNeverUp);
-  CHECK(recorder.ups == 0);
+  connection->connect(silent_server.local_endpoint());
+  const Instant deadline = net::Loop::now() + std::chrono::seconds{5};
+  while (!recorder.down_reason && net::Loop::now() < deadline) loop.io.run_one_for(milliseconds{10});
+  CHECK(recorder.down_reason == net::CloseReason::kNeverUp);
+  CHECK(recorder.up_count == 0);
 }
--- a/tests/session_api_test.cpp
+++ b/tests/session_api_test.cpp
@@ -1,4 +1,6 @@
-// Old clients, new servers on real sockets: JSON lines in, the session API out, one test for each rule.
+// Calls of a JSON lines caller at servers of the session API, on real sockets, one test for each rule of
+// docs/session-api.md. Guards against calls that are sent in a version their server does not speak, calls
+// that end twice or never, and sessions that stay at a server without a caller.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -14,13 +16,13 @@
 
 namespace {
 
-const std::string kA = "00000000000000aa";
-const std::string kB = "00000000000000bb";
+const std::string kSessionA = "00000000000000aa";
+const std::string kSessionB = "00000000000000bb";
 
-app::OperatorFile setup(const std::string& speaks = "learn") {
+app::OperatorFile make_operator_file(const std::string& version = "learn") {
   app::OperatorFile file;
   file.session_api.emplace();
-  file.session_api->servers["*"] = speaks;
+  file.session_api->servers["*"] = version;
   const auto faults = translate::read_table(
       R"({"rows":[{"to":"session-2","field":"region","by":"@tenant","table":{"acme":"jakarta"},"otherwise":"not-eligible"}]})",
       file.translate);
@@ -28,54 +30,55 @@
   return file;
 }
 
-app::Config config_with_tenants() {
+app::Config config_with_two_tenants() {
   auto config = bench_config();
   config.names.tenants = {"acme", "toko"};
   config.settings.tenants.resize(2);
   return config;
 }
 
-/// A session server: answers what every one does, and keeps the set-ups for the test.
+/// A session server that answers all requests but set-ups, which it keeps for the test to answer.
 struct SessionServer {
   struct SetUp {
     Http2Server::Peer* peer;
     std::int32_t stream;
     std::string body;
     std::string version;
-    bool reset = false;
+    bool was_reset = false;
   };
 
   explicit SessionServer(net::Loop& loop, std::string versions = R"({"versions":[1,2],"process":"p1"})")
       : versions(std::move(versions)), http2(loop) {
-    http2.on_request = [this](Http2Server::Peer& peer, std::int32_t id, Http2Server::Peer::Request& request) {
+    http2.on_request = [this](Http2Server::Peer& peer, std::int32_t stream_id,
+                              Http2Server::Peer::Request& request) {
       if (request.path == "/versions") {
-        ++asked;
+        ++versions_requests;
         if (this->versions.empty()) {
-          peer.respond(id, 404, {}, "");
+          peer.respond(stream_id, 404, {}, "");
         } else {
-          peer.respond(id, 200, {{"content-type", "application/json"}}, this->versions);
+          peer.respond(stream_id, 200, {{"content-type", "application/json"}}, this->versions);
         }
       } else if (request.path == "/events") {
-        events = {&peer, id};
-        ++followed;
-        resumed_from = request.headers.contains("last-event-id") ? request.headers["last-event-id"] : "";
-        peer.respond(id, 200, {{"content-type", "text/event-stream"}}, ":\n\n", false);
+        event_stream = {&peer, stream_id};
+        ++event_stream_requests;
+        last_event_id = request.headers.contains("last-event-id") ? request.headers["last-event-id"] : "";
+        peer.respond(stream_id, 200, {{"content-type", "text/event-stream"}}, ":\n\n", false);
       } else if (request.method == "POST") {
-        set_ups.push_back({&peer, id, request.body, request.headers["api-version"]});
+        set_ups.push_back({&peer, stream_id, request.body, request.headers["api-version"]});
         if (on_set_up) on_set_up(set_ups.back());
       } else if (request.method == "DELETE") {
-        deleted.push_back(request.path);
-        if (mute_deletes) return;
-        peer.respond(id, deletes_fail-- > 0 ? 500 : 204, {}, "");
+        deleted_paths.push_back(request.path);
+        if (ignore_deletes) return;
+        peer.respond(stream_id, failing_deletes-- > 0 ? 500 : 204, {}, "");
       } else {
-        checked.push_back(request.path);
-        peer.respond(id, 404, {}, "");
+        checked_paths.push_back(request.path);
+        peer.respond(stream_id, 404, {}, "");
       }
     };
-    http2.on_reset = [this](Http2Server::Peer& peer, std::int32_t id,
+    http2.on_reset = [this](Http2Server::Peer& peer, std::int32_t stream_id,
                             Http2Server::Peer::Request& /*request*/) {
-      for (auto& one : set_ups) {
-        if (one.peer == &peer && one.stream == id) one.reset = true;
+      for (auto& set_up : set_ups) {
+        if (set_up.peer == &peer && set_up.stream == stream_id) set_up.was_reset = true;
       }
     };
   }
@@ -91,75 +94,78 @@
     if (!retry_after.empty()) headers.emplace_back("retry-after", retry_after);
     set_up.peer->respond(set_up.stream, status, headers, R"({"type":"https://kartu.example/)" + type + "\"}");
   }
-  void event(std::uint64_t number, const std::string& name, const std::string& data) {
-    events.first->data(events.second,
-                       "id: " + std::to_string(number) + "\nevent: " + name + "\ndata: " + data + "\n\n");
+  void send_event(std::uint64_t event_id, const std::string& name, const std::string& data) {
+    event_stream.first->send_data(event_stream.second, "id: " + std::to_string(event_id) +
+                                                           "\nevent: " + name + "\ndata: " + data + "\n\n");
   }
 
   std::string versions;
   Http2Server http2;
   std::vector<SetUp> set_ups;
   std::function<void(SetUp&)> on_set_up;
-  std::vector<std::string> deleted, checked;
-  std::pair<Http2Server::Peer*, std::int32_t> events{};
-  std::string resumed_from;
-  int asked = 0, followed = 0, deletes_fail = 0;
-  bool mute_deletes = false;
+  std::vector<std::string> deleted_paths, checked_paths;
+  std::pair<Http2Server::Peer*, std::int32_t> event_stream{};
+  std::string last_event_id;
+  int versions_requests = 0, event_stream_requests = 0, failing_deletes = 0;
+  bool ignore_deletes = false;
 };
 
-struct SessionBench : Bench {
-  explicit SessionBench(const app::OperatorFile& file = setup()) : Bench(file, config_with_tenants()) {}
-  void list_session(SessionServer& server, const std::string& name,
-                    EndpointState state = EndpointState::kReady, std::int64_t started = 0) {
-    discovery::EndpointUpdate news;
-    news.has_servers = true;
-    news.changes.push_back({name, server.http2.address(), 0, state, started});
-    router->apply(news);
+struct SessionApiFixture : Bench {
+  explicit SessionApiFixture(const app::OperatorFile& file = make_operator_file())
+      : Bench(file, config_with_two_tenants()) {}
+  void list_server(SessionServer& server, const std::string& name,
+                   EndpointState state = EndpointState::kReady, std::int64_t started = 0) {
+    discovery::EndpointUpdate update;
+    update.has_servers = true;
+    update.changes.push_back({name, server.http2.address(), 0, state, started});
+    router->apply(update);
   }
-  /// Listed, asked, and followed.
-  void ready(SessionServer& server, const std::string& name) {
-    const int before = server.followed;
-    list_session(server, name);
-    until([&] { return server.followed > before && speaks(name) != core::kNotKnown; });
+  /// Lists the server, and waits until its version is known and its event stream is open.
+  void list_and_wait(SessionServer& server, const std::string& name) {
+    const int requests_before = server.event_stream_requests;
+    list_server(server, name);
+    until([&] {
+      return server.event_stream_requests > requests_before && version_of(name) != core::kNotKnown;
+    });
   }
-  ProtocolVersion speaks(const std::string& name) {
+  ProtocolVersion version_of(const std::string& name) {
     return router->servers().find(std::string_view(name))->version;
   }
-  SessionServer::SetUp& came(SessionServer& server, std::size_t count = 1) {
+  SessionServer::SetUp& wait_for_set_up(SessionServer& server, std::size_t count = 1) {
     until([&] { return server.set_ups.size() >= count; });
     return server.set_ups[count - 1];
   }
-  void open_as(const std::string& sid, const std::string& tenant, int left = 2000) {
+  void open_call(const std::string& sid, const std::string& tenant, int remaining_ms = 2000) {
     say("{\"msg\":\"open\",\"sid\":\"" + sid + "\",\"attrs\":{\"class\":\"voice\",\"left\":\"" +
-        std::to_string(left) + "\",\"tenant\":\"" + tenant +
+        std::to_string(remaining_ms) + "\",\"tenant\":\"" + tenant +
         "\",\"key\":\"77aa\",\"extras\":\"dest:0;width:1;via:-1\"},\"text\":\"sdp\"}\n");
   }
-  bool heard(const std::string& sid, const std::string& type) {
+  bool caller_received(const std::string& sid, const std::string& type) {
     return caller->has("\"msg\":\"" + type + "\",\"sid\":\"" + sid);
   }
-  void stands(SessionServer& server, const std::string& sid) {
+  void establish(SessionServer& server, const std::string& sid) {
     const auto before = server.set_ups.size();
-    open_as(sid, "acme");
-    SessionServer::answer(came(server, before + 1), sid);
-    until([&] { return heard(sid, "ready"); });
+    open_call(sid, "acme");
+    SessionServer::answer(wait_for_set_up(server, before + 1), sid);
+    until([&] { return caller_received(sid, "ready"); });
   }
 };
 
 }  // namespace
 
-TEST_CASE("a JSON caller reaches a server of version 2, and both may release") {
-  SessionBench bench;
-  SessionServer server(bench.loop);
-  bench.ready(server, "h1");
-  bench.open_as(kA, "acme");
-  auto& set_up = bench.came(server);
+TEST_CASE("a JSON caller sets up calls at a server of version 2, and either side may release them") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop);
+  fixture.list_and_wait(server, "h1");
+  fixture.open_call(kSessionA, "acme");
+  auto& set_up = fixture.wait_for_set_up(server);
   CHECK(set_up.version == "2");
   http2::BodyReader reader;
   translate::Record record;
   std::string fault;
   REQUIRE_MESSAGE(reader.read_set_up(2, {set_up.body.data(), set_up.body.size()}, record, fault), fault);
   const auto& fields = translate::find_dialect("session-2")->of(translate::Kind::kSetUp);
-  CHECK(record.text(translate::index_of(fields, "id")) == kA);
+  CHECK(record.text(translate::index_of(fields, "id")) == kSessionA);
   CHECK(record.text(translate::index_of(fields, "retailer")) == "acme");
   CHECK(record.text(translate::index_of(fields, "region")) == "jakarta");
   CHECK(record.text(translate::index_of(fields, "number")) == "77aa");
@@ -167,76 +173,77 @@
   const auto wait = record.number(translate::index_of(fields, "waitMs"));
   CHECK(wait > 1000);
   CHECK(wait <= 2000);
-  SessionServer::answer(set_up, kA);
-  bench.until([&] { return bench.heard(kA, "ready"); });
-  CHECK(bench.caller->has("desc of the server"));
-  // By the caller.
-  bench.say("{\"msg\":\"close\",\"sid\":\"" + kA + "\",\"attrs\":{},\"code\":16}\n");
-  bench.until([&] { return !server.deleted.empty(); });
-  CHECK(server.deleted.front() == "/sessions/" + kA + "?cause=16");
-  // By the server.
-  bench.stands(server, kB);
-  server.event(1, "released", R"({"id":")" + kB + R"(","cause":16})");
-  bench.until([&] { return bench.heard(kB, "close"); });
-  bench.settle();
-  CHECK(server.deleted.size() == 1);
-  CHECK(bench.router->table().established() == 0);
+  SessionServer::answer(set_up, kSessionA);
+  fixture.until([&] { return fixture.caller_received(kSessionA, "ready"); });
+  CHECK(fixture.caller->has("desc of the server"));
+  // Released by the caller.
+  fixture.say("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
+  fixture.until([&] { return !server.deleted_paths.empty(); });
+  CHECK(server.deleted_paths.front() == "/sessions/" + kSessionA + "?cause=16");
+  // Released by the server.
+  fixture.establish(server, kSessionB);
+  server.send_event(1, "released", R"({"id":")" + kSessionB + R"(","cause":16})");
+  fixture.until([&] { return fixture.caller_received(kSessionB, "close"); });
+  fixture.settle();
+  CHECK(server.deleted_paths.size() == 1);
+  CHECK(fixture.router->table().established() == 0);
 }
 
-TEST_CASE("a server that knows no versions is spoken to in version 1, without what that does not take") {
-  SessionBench bench;
-  SessionServer server(bench.loop, "");
-  bench.ready(server, "h1");
-  bench.open_as(kA, "toko");  // no region is known for it, and none is asked
-  auto& set_up = bench.came(server);
+TEST_CASE("a server without /versions gets version 1, without the fields that version 1 does not have") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop, "");
+  fixture.list_and_wait(server, "h1");
+  fixture.open_call(kSessionA, "toko");  // this tenant has no region, and version 1 needs none
+  auto& set_up = fixture.wait_for_set_up(server);
   CHECK(set_up.version == "1");
   CHECK(set_up.body.find("retailer") == std::string::npos);
-  SessionServer::answer(set_up, kA);
-  bench.until([&] { return bench.heard(kA, "ready"); });
+  SessionServer::answer(set_up, kSessionA);
+  fixture.until([&] { return fixture.caller_received(kSessionA, "ready"); });
 }
 
 TEST_CASE(
-    "a call goes only to versions that can be told what it needs, and with none left it is failed at once") {
-  SessionBench bench;
-  SessionServer two(bench.loop);
-  bench.ready(two, "h2");
-  const Instant asked = Loop::now();
-  bench.open_as(kA, "toko");
-  bench.until([&] { return bench.heard(kA, "close"); });
-  CHECK(Loop::now() - asked < milliseconds{500});
-  CHECK(bench.caller->has("\"code\":100"));
-  SessionServer one(bench.loop, R"({"versions":[1],"process":"q"})");
-  bench.ready(one, "h1");
-  bench.open_as(kB, "toko");
-  SessionServer::answer(bench.came(one), kB);
-  bench.until([&] { return bench.heard(kB, "ready"); });
-  CHECK(two.set_ups.empty());
+    "a call goes only to servers whose version can carry its fields, and fails at once if there is none") {
+  SessionApiFixture fixture;
+  SessionServer version_2_server(fixture.loop);
+  fixture.list_and_wait(version_2_server, "h2");
+  const Instant opened_at = Loop::now();
+  fixture.open_call(kSessionA, "toko");
+  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+  CHECK(Loop::now() - opened_at < milliseconds{500});
+  CHECK(fixture.caller->has("\"code\":100"));
+  SessionServer version_1_server(fixture.loop, R"({"versions":[1],"process":"q"})");
+  fixture.list_and_wait(version_1_server, "h1");
+  fixture.open_call(kSessionB, "toko");
+  SessionServer::answer(fixture.wait_for_set_up(version_1_server), kSessionB);
+  fixture.until([&] { return fixture.caller_received(kSessionB, "ready"); });
+  CHECK(version_2_server.set_ups.empty());
 }
 
-TEST_CASE("a refused field rules out its version, and the call stands at the other") {
-  SessionBench bench;
-  SessionServer two(bench.loop), also_two(bench.loop);
-  two.on_set_up =
-      also_two.on_set_up = [](SessionServer::SetUp& one) { SessionServer::refuse(one, 422, "value"); };
-  bench.ready(two, "h2");
-  bench.ready(also_two, "h3");
-  SessionServer one(bench.loop, R"({"versions":[1],"process":"q"})");
-  one.on_set_up = [](SessionServer::SetUp& set_up) {
+TEST_CASE("a rejected field excludes the version for the call, which is set up in the other version") {
+  SessionApiFixture fixture;
+  SessionServer version_2_server(fixture.loop), other_version_2_server(fixture.loop);
+  version_2_server.on_set_up = other_version_2_server.on_set_up = [](SessionServer::SetUp& set_up) {
+    SessionServer::refuse(set_up, 422, "value");
+  };
+  fixture.list_and_wait(version_2_server, "h2");
+  fixture.list_and_wait(other_version_2_server, "h3");
+  SessionServer version_1_server(fixture.loop, R"({"versions":[1],"process":"q"})");
+  version_1_server.on_set_up = [](SessionServer::SetUp& set_up) {
     SessionServer::answer(set_up, set_up.body.substr(7, 16));
   };
-  bench.ready(one, "h1");
-  // Each call tries a version once at most, whichever comes first, and no server is shut for it.
+  fixture.list_and_wait(version_1_server, "h1");
+  // Each call tries each version at most once, in either order, and no server is excluded for other calls.
   for (int i = 0; i < 30; ++i) {
     const std::string sid = std::to_string(1'000'000'000'000'000 + i);
-    bench.open_as(sid, "acme");
-    bench.until([&] { return bench.heard(sid, "ready"); });
+    fixture.open_call(sid, "acme");
+    fixture.until([&] { return fixture.caller_received(sid, "ready"); });
   }
-  CHECK(one.set_ups.size() == 30);
-  CHECK(two.set_ups.size() + also_two.set_ups.size() <= 30);
-  CHECK(two.set_ups.size() + also_two.set_ups.size() > 1);
+  CHECK(version_1_server.set_ups.size() == 30);
+  CHECK(version_2_server.set_ups.size() + other_version_2_server.set_ups.size() <= 30);
+  CHECK(version_2_server.set_ups.size() + other_version_2_server.set_ups.size() > 1);
 }
 
-TEST_CASE("each error ends as one clear refusal or failure") {
+TEST_CASE("each error response ends the call once, with its code and retry time") {
   struct Case {
     int status;
     std::string type, retry_after;
@@ -247,210 +254,218 @@
       {404, "", "", "\"code\":1", ""},
       {409, "number-busy", "", "\"code\":17", ""},
       {429, "over-share", "1", "\"code\":42", "\"wait\":\"1000\""},
-      {429, "over-share", "3600", "\"code\":42", "\"wait\":\"2000\""},  // capped by the settings
+      {429, "over-share", "3600", "\"code\":42", "\"wait\":\"2000\""},  // capped by max_retry_advice
   };
-  for (const auto& one : cases) {
-    CAPTURE(one.type);
-    SessionBench bench;
-    SessionServer server(bench.loop);
+  for (const auto& test_case : cases) {
+    CAPTURE(test_case.type);
+    SessionApiFixture fixture;
+    SessionServer server(fixture.loop);
     server.on_set_up = [&](SessionServer::SetUp& set_up) {
-      SessionServer::refuse(set_up, one.status, one.type, one.retry_after);
+      SessionServer::refuse(set_up, test_case.status, test_case.type, test_case.retry_after);
     };
-    bench.ready(server, "h1");
-    bench.open_as(kA, "acme");
-    bench.until([&] { return bench.heard(kA, "close"); });
-    CHECK_MESSAGE((bench.caller->has(one.code + "}") || bench.caller->has(one.code + ",")), bench.caller->in);
-    if (!one.wait.empty()) CHECK_MESSAGE(bench.caller->has(one.wait), bench.caller->in);
+    fixture.list_and_wait(server, "h1");
+    fixture.open_call(kSessionA, "acme");
+    fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+    CHECK_MESSAGE((fixture.caller->has(test_case.code + "}") || fixture.caller->has(test_case.code + ",")),
+                  fixture.caller->in);
+    if (!test_case.wait.empty()) CHECK_MESSAGE(fixture.caller->has(test_case.wait), fixture.caller->in);
     CHECK(server.set_ups.size() == 1);
-    bench.settle();
-    CHECK(bench.caller->count(kA) == 1);
+    fixture.settle();
+    CHECK(fixture.caller->count(kSessionA) == 1);
   }
 }
 
-TEST_CASE("what never ran goes elsewhere at once, and what may have run waits") {
-  SessionBench bench;
-  SessionServer server(bench.loop);
-  bench.ready(server, "h1");
-  bench.open_as(kA, "acme");
-  auto& first = bench.came(server);
-  const Instant reset = Loop::now();
-  first.peer->reset(first.stream, NGHTTP2_REFUSED_STREAM);
-  bench.came(server, 2);
-  CHECK(Loop::now() - reset < milliseconds{400});
+TEST_CASE(
+    "a set-up that was not processed is retried at once, one that may have been processed after a wait") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop);
+  fixture.list_and_wait(server, "h1");
+  fixture.open_call(kSessionA, "acme");
+  auto& first = fixture.wait_for_set_up(server);
+  const Instant refused_at = Loop::now();
+  first.peer->reset_stream(first.stream, NGHTTP2_REFUSED_STREAM);
+  fixture.wait_for_set_up(server, 2);
+  CHECK(Loop::now() - refused_at < milliseconds{400});
   auto& second = server.set_ups[1];
-  const Instant again = Loop::now();
-  second.peer->reset(second.stream, NGHTTP2_INTERNAL_ERROR);
-  bench.came(server, 3);
-  CHECK(Loop::now() - again >= milliseconds{500});
-  SessionServer::answer(server.set_ups[2], kA);
-  bench.until([&] { return bench.heard(kA, "ready"); });
+  const Instant reset_at = Loop::now();
+  second.peer->reset_stream(second.stream, NGHTTP2_INTERNAL_ERROR);
+  fixture.wait_for_set_up(server, 3);
+  CHECK(Loop::now() - reset_at >= milliseconds{500});
+  SessionServer::answer(server.set_ups[2], kSessionA);
+  fixture.until([&] { return fixture.caller_received(kSessionA, "ready"); });
 }
 
-TEST_CASE("a caller that gives up: the stream is reset, and what may stand all the same is deleted") {
-  SessionBench bench;
-  SessionServer server(bench.loop);
-  bench.ready(server, "h1");
-  bench.open_as(kA, "acme");
-  auto& set_up = bench.came(server);
-  bench.say("{\"msg\":\"close\",\"sid\":\"" + kA + "\",\"attrs\":{},\"code\":16}\n");
-  SessionServer::answer(set_up, kA);  // crosses
-  bench.until([&] { return !server.deleted.empty(); });
-  CHECK(server.deleted.front().find(kA) != std::string::npos);
-  bench.settle();
-  CHECK_FALSE(bench.heard(kA, "ready"));
+TEST_CASE("when a caller gives up, the session that may have been established is deleted") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop);
+  fixture.list_and_wait(server, "h1");
+  fixture.open_call(kSessionA, "acme");
+  auto& set_up = fixture.wait_for_set_up(server);
+  fixture.say("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
+  SessionServer::answer(set_up, kSessionA);  // crosses the cancel on the wire
+  fixture.until([&] { return !server.deleted_paths.empty(); });
+  CHECK(server.deleted_paths.front().find(kSessionA) != std::string::npos);
+  fixture.settle();
+  CHECK_FALSE(fixture.caller_received(kSessionA, "ready"));
 }
 
-TEST_CASE("a release is told until it is confirmed") {
-  SessionBench bench;
-  SessionServer server(bench.loop);
-  bench.ready(server, "h1");
-  bench.stands(server, kA);
-  server.deletes_fail = 2;
-  bench.say("{\"msg\":\"close\",\"sid\":\"" + kA + "\",\"attrs\":{},\"code\":16}\n");
-  bench.until([&] { return server.deleted.size() == 3; });
-  bench.settle();
-  CHECK(server.deleted.size() == 3);
+TEST_CASE("a release is retried until the server confirms it") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop);
+  fixture.list_and_wait(server, "h1");
+  fixture.establish(server, kSessionA);
+  server.failing_deletes = 2;
+  fixture.say("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
+  fixture.until([&] { return server.deleted_paths.size() == 3; });
+  fixture.settle();
+  CHECK(server.deleted_paths.size() == 3);
 }
 
 TEST_CASE(
-    "what was out at the old address of a server that moves is ended, and its releases told at the new one") {
-  SessionBench bench;
-  SessionServer old(bench.loop), moved(bench.loop);
-  bench.ready(old, "h1");
-  bench.stands(old, kA);
-  old.mute_deletes = true;
-  bench.say("{\"msg\":\"close\",\"sid\":\"" + kA + "\",\"attrs\":{},\"code\":16}\n");
-  bench.until([&] { return old.deleted.size() == 1; });
-  bench.open_as(kB, "acme");
-  bench.came(old, 2);
-  const Instant at = Loop::now();
-  bench.ready(moved, "h1");
-  bench.until([&] { return moved.deleted.size() == 1; });
-  SessionServer::answer(bench.came(moved), kB);  // a reset: not before the release wait
-  CHECK(Loop::now() - at >= milliseconds{500});
-  bench.until([&] { return bench.heard(kB, "ready"); });
+    "when a server's address changes, outstanding set-ups are retried and unconfirmed releases sent to the "
+    "new address") {
+  SessionApiFixture fixture;
+  SessionServer old_server(fixture.loop), new_server(fixture.loop);
+  fixture.list_and_wait(old_server, "h1");
+  fixture.establish(old_server, kSessionA);
+  old_server.ignore_deletes = true;
+  fixture.say("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
+  fixture.until([&] { return old_server.deleted_paths.size() == 1; });
+  fixture.open_call(kSessionB, "acme");
+  fixture.wait_for_set_up(old_server, 2);
+  const Instant moved_at = Loop::now();
+  fixture.list_and_wait(new_server, "h1");
+  fixture.until([&] { return new_server.deleted_paths.size() == 1; });
+  // The outstanding set-up counts as reset, so it is not retried before the release wait is over.
+  SessionServer::answer(fixture.wait_for_set_up(new_server), kSessionB);
+  CHECK(Loop::now() - moved_at >= milliseconds{500});
+  fixture.until([&] { return fixture.caller_received(kSessionB, "ready"); });
 }
 
-TEST_CASE("nothing new goes to a server that drains, by the list or by its own word") {
-  SessionBench bench;
-  SessionServer server(bench.loop);
-  bench.ready(server, "h1");
-  bench.stands(server, kA);
-  SUBCASE("by the list") {
-    bench.list_session(server, "h1", EndpointState::kDraining);
+TEST_CASE("a server that drains, by the endpoint list or by its own event, gets no new set-ups") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop);
+  fixture.list_and_wait(server, "h1");
+  fixture.establish(server, kSessionA);
+  SUBCASE("by the endpoint list") {
+    fixture.list_server(server, "h1", EndpointState::kDraining);
   }
-  SUBCASE("by its own word") {
-    server.event(1, "draining", "{}");
-    server.event(2, "load", R"({"x0":3})");
-    const auto before = bench.router->counters().load_reports;
-    bench.until([&] { return bench.router->counters().load_reports > before; });
+  SUBCASE("by its own event") {
+    server.send_event(1, "draining", "{}");
+    server.send_event(2, "load", R"({"x0":3})");
+    const auto before = fixture.router->counters().load_reports;
+    fixture.until([&] { return fixture.router->counters().load_reports > before; });
   }
-  bench.open_as(kB, "acme", 300);
-  bench.until([&] { return bench.heard(kB, "close"); });
+  fixture.open_call(kSessionB, "acme", 300);
+  fixture.until([&] { return fixture.caller_received(kSessionB, "close"); });
   CHECK(server.set_ups.size() == 1);
-  CHECK(bench.router->table().established() == 1);  // what stands goes on
-  server.event(3, "released", R"({"id":")" + kA + R"(","cause":16})");
-  bench.until([&] { return bench.heard(kA, "close"); });
+  CHECK(fixture.router->table().established() == 1);  // the established session continues
+  server.send_event(3, "released", R"({"id":")" + kSessionA + R"(","cause":16})");
+  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
 }
 
-TEST_CASE("the stream of events is resumed after a break, and nothing is told twice") {
-  SessionBench bench;
-  SessionServer server(bench.loop);
-  bench.ready(server, "h1");
-  bench.stands(server, kA);
-  bench.stands(server, kB);
-  server.event(7, "load", R"({"x0":3})");
-  bench.until([&] { return bench.router->counters().load_reports > 0; });
-  const int before = server.followed;
-  server.events.first->reset(server.events.second, NGHTTP2_INTERNAL_ERROR);
-  bench.until([&] { return server.followed > before; });
-  CHECK(server.resumed_from == "7");
-  server.event(7, "released", R"({"id":")" + kB + R"(","cause":16})");  // an old number: known
-  server.event(8, "released", R"({"id":")" + kA + R"(","cause":16})");
-  bench.until([&] { return bench.heard(kA, "close"); });
-  CHECK_FALSE(bench.heard(kB, "close"));
-  // What the server does not keep any more has to be asked: it answers 404 for all.
-  server.event(9, "lost", R"({"before":9})");
-  bench.until([&] { return bench.heard(kB, "close"); });
-  CHECK(server.checked == std::vector<std::string>{"/sessions/" + kB});
+TEST_CASE("the event stream resumes after a break, and repeated events are ignored") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop);
+  fixture.list_and_wait(server, "h1");
+  fixture.establish(server, kSessionA);
+  fixture.establish(server, kSessionB);
+  server.send_event(7, "load", R"({"x0":3})");
+  fixture.until([&] { return fixture.router->counters().load_reports > 0; });
+  const int requests_before = server.event_stream_requests;
+  server.event_stream.first->reset_stream(server.event_stream.second, NGHTTP2_INTERNAL_ERROR);
+  fixture.until([&] { return server.event_stream_requests > requests_before; });
+  CHECK(server.last_event_id == "7");
+  // Ignored, because event 7 has been processed.
+  server.send_event(7, "released", R"({"id":")" + kSessionB + R"(","cause":16})");
+  server.send_event(8, "released", R"({"id":")" + kSessionA + R"(","cause":16})");
+  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+  CHECK_FALSE(fixture.caller_received(kSessionB, "close"));
+  // Sessions whose events the server has dropped are checked one by one; it answers 404 to each check.
+  server.send_event(9, "lost", R"({"before":9})");
+  fixture.until([&] { return fixture.caller_received(kSessionB, "close"); });
+  CHECK(server.checked_paths == std::vector<std::string>{"/sessions/" + kSessionB});
 }
 
-TEST_CASE("an end that overtakes its answer ends the call once it stands") {
-  SessionBench bench;
-  SessionServer server(bench.loop);
-  bench.ready(server, "h1");
-  bench.open_as(kA, "acme");
-  auto& set_up = bench.came(server);
-  server.event(1, "released", R"({"id":")" + kA + R"(","cause":16})");
-  server.event(2, "load", R"({"x0":3})");
-  bench.until([&] { return bench.router->counters().load_reports > 0; });
-  SessionServer::answer(set_up, kA);
-  bench.until([&] { return bench.heard(kA, "close"); });
-  CHECK(bench.heard(kA, "ready"));
-  CHECK(bench.caller->count(kA) == 2);
+TEST_CASE("a session end that arrives before the set-up answer ends the call after it is established") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop);
+  fixture.list_and_wait(server, "h1");
+  fixture.open_call(kSessionA, "acme");
+  auto& set_up = fixture.wait_for_set_up(server);
+  server.send_event(1, "released", R"({"id":")" + kSessionA + R"(","cause":16})");
+  server.send_event(2, "load", R"({"x0":3})");
+  fixture.until([&] { return fixture.router->counters().load_reports > 0; });
+  SessionServer::answer(set_up, kSessionA);
+  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+  CHECK(fixture.caller_received(kSessionA, "ready"));
+  CHECK(fixture.caller->count(kSessionA) == 2);
 }
 
-TEST_CASE("a process replaced at the same address is asked anew, and what stood before is cut") {
-  SessionBench bench;
-  SessionServer server(bench.loop);
-  bench.ready(server, "h1");
-  bench.stands(server, kA);
-  const auto two = bench.speaks("h1");
-  server.http2.die();
+TEST_CASE(
+    "after a process is replaced at the same address, its calls are ended and its version is asked again") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop);
+  fixture.list_and_wait(server, "h1");
+  fixture.establish(server, kSessionA);
+  const auto old_version = fixture.version_of("h1");
+  server.http2.crash();
   server.versions = R"({"versions":[1],"process":"p2"})";
-  server.http2.rise();
-  bench.until([&] { return bench.heard(kA, "close"); });
-  bench.until([&] { return bench.speaks("h1") != two; });
+  server.http2.restart();
+  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+  fixture.until([&] { return fixture.version_of("h1") != old_version; });
   const auto before = server.set_ups.size();
-  bench.open_as(kB, "acme");
-  auto& set_up = bench.came(server, before + 1);
+  fixture.open_call(kSessionB, "acme");
+  auto& set_up = fixture.wait_for_set_up(server, before + 1);
   CHECK(set_up.version == "1");
-  SessionServer::answer(set_up, kB);
-  bench.until([&] { return bench.heard(kB, "ready"); });
+  SessionServer::answer(set_up, kSessionB);
+  fixture.until([&] { return fixture.caller_received(kSessionB, "ready"); });
 }
 
-TEST_CASE("a server upgraded in place denies the old version, and is asked again") {
-  SessionBench bench;
-  SessionServer server(bench.loop, R"({"versions":[1],"process":"p1"})");
-  bench.ready(server, "h1");
+TEST_CASE("a server that denies its old version after an upgrade is asked for its versions again") {
+  SessionApiFixture fixture;
+  SessionServer server(fixture.loop, R"({"versions":[1],"process":"p1"})");
+  fixture.list_and_wait(server, "h1");
   server.versions = R"({"versions":[2],"process":"p1"})";
-  server.on_set_up = [](SessionServer::SetUp& one) {
-    if (one.version == "1") {
-      SessionServer::refuse(one, 505, "version-not-taken");
+  server.on_set_up = [](SessionServer::SetUp& set_up) {
+    if (set_up.version == "1") {
+      SessionServer::refuse(set_up, 505, "version-not-taken");
     } else {
-      SessionServer::answer(one, kA);
+      SessionServer::answer(set_up, kSessionA);
     }
   };
-  bench.open_as(kA, "acme");
-  bench.until([&] { return bench.heard(kA, "ready"); });
+  fixture.open_call(kSessionA, "acme");
+  fixture.until([&] { return fixture.caller_received(kSessionA, "ready"); });
   CHECK(server.set_ups.size() == 2);
 }
 
-TEST_CASE("an answer that cannot be taken is released there and ends once") {
+TEST_CASE("an invalid set-up answer releases the session and ends the call") {
   for (const std::string& body :
        {std::string("nonsense"), std::string(R"({"id":"00000000000000cc","description":"d","region":"r"})"),
         std::string(R"({"id":"00000000000000aa","description":"d"})")}) {
-    SessionBench bench;
-    SessionServer server(bench.loop);
-    bench.ready(server, "h1");
-    bench.open_as(kA, "acme", 300);
-    auto& set_up = bench.came(server);
+    SessionApiFixture fixture;
+    SessionServer server(fixture.loop);
+    fixture.list_and_wait(server, "h1");
+    fixture.open_call(kSessionA, "acme", 300);
+    auto& set_up = fixture.wait_for_set_up(server);
     set_up.peer->respond(set_up.stream, 201, {}, body);
-    bench.until([&] { return bench.heard(kA, "close"); });
-    bench.until([&] { return !server.deleted.empty(); });
-    CHECK_FALSE(bench.heard(kA, "ready"));
+    fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+    fixture.until([&] { return !server.deleted_paths.empty(); });
+    CHECK_FALSE(fixture.caller_received(kSessionA, "ready"));
   }
 }
 
-TEST_CASE("without a row for the region a router with servers of version 2 does not start, and says why") {
-  auto file = setup();
+TEST_CASE(
+    "without a translation row for the region, a router with servers of version 2 does not start and reports "
+    "why") {
+  auto file = make_operator_file();
   file.translate = {};
-  std::string why;
+  std::string message;
   try {
-    SessionBench bench(file);
+    SessionApiFixture fixture(file);
   } catch (const app::ConfigError& error) {
-    why = error.what();
+    message = error.what();
   }
-  CHECK(why.find("region: is required and nothing says where it comes from") != std::string::npos);
-  SessionBench fine(setup("session-1"));
+  CHECK(message.find("region: is required and nothing says where it comes from") != std::string::npos);
+  SessionApiFixture version_1_fixture(make_operator_file("session-1"));
 }
--- a/tests/wire_format_session_api_test.cpp
+++ b/tests/wire_format_session_api_test.cpp
@@ -1,4 +1,5 @@
-// The requests to servers of the session API: method, path, header fields and the bytes of the body.
+// Wire format of the requests to servers of the session API: method, path, header fields and the bytes of the
+// body. Guards against changes that a deployed server would notice.
 #include <algorithm>
 
 #include "http2/body.hpp"
@@ -11,7 +12,7 @@
 
 const std::string kCallId = "9b1f03aa5c7e2d41";
 
-app::OperatorFile session_api_setup(const std::string& version) {
+app::OperatorFile make_operator_file(const std::string& version) {
   app::OperatorFile file;
   file.session_api.emplace();
   file.session_api->servers["*"] = version;
@@ -23,28 +24,28 @@
   return file;
 }
 
-/// A session server that answers by itself, and keeps each request as a text.
+/// A session server that answers every request and keeps each as a text.
 struct SessionServer {
   using Peer = lab::Http2Server::Peer;
 
   SessionServer(net::Loop& loop, std::string versions) : http2(loop) {
-    http2.on_request = [this, versions = std::move(versions)](Peer& peer, std::int32_t stream,
+    http2.on_request = [this, versions = std::move(versions)](Peer& peer, std::int32_t stream_id,
                                                               Peer::Request& request) {
       requests.push_back(text_of(request));
       if (request.path == "/versions") {
-        peer.respond(stream, 200, {{"content-type", "application/json"}}, versions);
+        peer.respond(stream_id, 200, {{"content-type", "application/json"}}, versions);
       } else if (request.path == "/events") {
-        events = {&peer, stream};
-        peer.respond(stream, 200, {{"content-type", "text/event-stream"}}, ":\n\n", false);
+        event_stream = {&peer, stream_id};
+        peer.respond(stream_id, 200, {{"content-type", "text/event-stream"}}, ":\n\n", false);
       } else if (request.method == "POST") {
-        peer.respond(stream, 201, {{"content-type", "application/json"}},
+        peer.respond(stream_id, 201, {{"content-type", "application/json"}},
                      R"({"id":"9b1f03aa5c7e2d41","description":"sdp","region":"jakarta"})");
       } else {
-        peer.respond(stream, request.method == "DELETE" ? 204 : 404, {}, "");
+        peer.respond(stream_id, request.method == "DELETE" ? 204 : 404, {}, "");
       }
     };
   }
-  /// The header fields in the order of their names, then the body.
+  /// The header fields in the order of their names, then the body. The port and the wait are masked.
   static std::string text_of(const Peer::Request& request) {
     std::string text;
     for (const auto& [name, value] : request.headers) text += name + ": " + value + "\n";
@@ -52,34 +53,34 @@
     text = mask_digits_after(std::move(text), ":authority: 127.0.0.1:");
     return mask_digits_after(std::move(text), "\"waitMs\":");
   }
-  /// Null: there is none with the text.
-  [[nodiscard]] const std::string* request_with(std::string_view part) const {
+  /// Returns the first request that contains the text, or null if there is none.
+  [[nodiscard]] const std::string* request_with(std::string_view text) const {
     const auto found = std::find_if(requests.begin(), requests.end(), [&](const std::string& request) {
-      return request.find(part) != std::string::npos;
+      return request.find(text) != std::string::npos;
     });
     return found == requests.end() ? nullptr : &*found;
   }
 
   lab::Http2Server http2;
   std::vector<std::string> requests;
-  std::pair<Peer*, std::int32_t> events{};
+  std::pair<Peer*, std::int32_t> event_stream{};
 };
 
-struct SessionApiBench : Bench {
-  explicit SessionApiBench(const std::string& version)
-      : Bench(session_api_setup(version)), session_server(loop, R"({"versions":[1,2],"process":"p1"})") {
-    discovery::EndpointUpdate news;
-    news.has_servers = true;
-    news.changes.push_back({"s1", session_server.http2.address(), 0, EndpointState::kReady, 0});
-    router->apply(news);
+struct SessionApiWireFixture : Bench {
+  explicit SessionApiWireFixture(const std::string& version)
+      : Bench(make_operator_file(version)), session_server(loop, R"({"versions":[1,2],"process":"p1"})") {
+    discovery::EndpointUpdate update;
+    update.has_servers = true;
+    update.changes.push_back({"s1", session_server.http2.address(), 0, EndpointState::kReady, 0});
+    router->apply(update);
     request_with("/events");
   }
-  /// Waits for the request that holds the text.
-  std::string request_with(std::string_view part) {
-    until([&] { return session_server.request_with(part) != nullptr; });
-    return *session_server.request_with(part);
+  /// Waits for a request that contains the text and returns it.
+  std::string request_with(std::string_view text) {
+    until([&] { return session_server.request_with(text) != nullptr; });
+    return *session_server.request_with(text);
   }
-  /// Sets a call up that stands; the request for it.
+  /// Establishes a call and returns the request for its set-up.
   std::string set_up_request() {
     open(kCallId, 2000, "v=0\\r\\n\\\"q\\\" \\u00e9/");
     until([&] { return caller->has("\"ready\""); });
@@ -95,16 +96,17 @@
   const std::string preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
   constexpr std::size_t kFrameHeaderSize = 9;
   constexpr std::size_t kSettingSize = 6;
-  constexpr std::size_t kSettings = 3;
-  Bench bench(session_api_setup("learn"));
-  bench.list();
-  const auto settings_size = kFrameHeaderSize + kSettings * kSettingSize;
-  bench.until([&] {
-    return !bench.server.ends.empty() && bench.server.ends[0]->in.size() >= preface.size() + settings_size;
+  constexpr std::size_t kSettingCount = 3;
+  Bench fixture(make_operator_file("learn"));
+  fixture.list();
+  const auto settings_size = kFrameHeaderSize + kSettingCount * kSettingSize;
+  fixture.until([&] {
+    return !fixture.server.ends.empty() &&
+           fixture.server.ends[0]->in.size() >= preface.size() + settings_size;
   });
-  const auto& in = bench.server.ends[0]->in;
-  CHECK(in.substr(0, preface.size()) == preface);
-  CHECK(hex_of(in.substr(preface.size(), settings_size)) ==
+  const auto& received = fixture.server.ends[0]->in;
+  CHECK(received.substr(0, preface.size()) == preface);
+  CHECK(hex_of(received.substr(preface.size(), settings_size)) ==
         "000012040000000000"  // 18 bytes of SETTINGS on stream 0
         "000200000000"        // SETTINGS_ENABLE_PUSH
         "000300000000"        // SETTINGS_MAX_CONCURRENT_STREAMS
@@ -112,16 +114,16 @@
   );
 }
 
-TEST_CASE("session API bytes: the question for the versions, and the stream of events") {
-  SessionApiBench bench("learn");
-  CHECK(bench.request_with("/versions") ==
+TEST_CASE("session API bytes: the requests for the versions and the event stream") {
+  SessionApiWireFixture fixture("learn");
+  CHECK(fixture.request_with("/versions") ==
         ":authority: 127.0.0.1:*\n"
         ":method: GET\n"
         ":path: /versions\n"
         ":scheme: http\n"
         "accept: application/json\n"
         "\n");
-  CHECK(bench.request_with("/events") ==
+  CHECK(fixture.request_with("/events") ==
         ":authority: 127.0.0.1:*\n"
         ":method: GET\n"
         ":path: /events\n"
@@ -131,8 +133,8 @@
 }
 
 TEST_CASE("session API bytes: a set-up of version 2 and its release") {
-  SessionApiBench bench("session-2");
-  CHECK(bench.set_up_request() ==
+  SessionApiWireFixture fixture("session-2");
+  CHECK(fixture.set_up_request() ==
         ":authority: 127.0.0.1:*\n"
         ":method: POST\n"
         ":path: /sessions\n"
@@ -142,8 +144,8 @@
         "\n"
         R"({"id":"9b1f03aa5c7e2d41","class":"voice","number":"77aa","description":"v=0\r\n\"q\" é/",)"
         R"("waitMs":*,"retailer":"acme","region":"jakarta","again":0})");
-  bench.say("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":16}\n");
-  CHECK(bench.request_with("DELETE") ==
+  fixture.say("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":16}\n");
+  CHECK(fixture.request_with("DELETE") ==
         ":authority: 127.0.0.1:*\n"
         ":method: DELETE\n"
         ":path: /sessions/9b1f03aa5c7e2d41?cause=16\n"
@@ -152,8 +154,8 @@
 }
 
 TEST_CASE("session API bytes: a set-up of version 1") {
-  SessionApiBench bench("session-1");
-  CHECK(bench.set_up_request() ==
+  SessionApiWireFixture fixture("session-1");
+  CHECK(fixture.set_up_request() ==
         ":authority: 127.0.0.1:*\n"
         ":method: POST\n"
         ":path: /sessions\n"
@@ -165,15 +167,15 @@
         R"("waitMs":*})");
 }
 
-TEST_CASE("session API bytes: events resumed, and a session that is asked for") {
-  SessionApiBench bench("session-2");
-  bench.set_up_request();
-  auto& events = bench.session_server.events;
-  events.first->data(events.second, "id: 7\nevent: load\ndata: {\"x0\":1}\n\n");
-  bench.until([&] { return bench.router->counters().load_reports > 0; });
-  bench.session_server.requests.clear();
-  events.first->data(events.second, "", true);
-  CHECK(bench.request_with("/events") ==
+TEST_CASE("session API bytes: a resumed event stream, and the check of a session") {
+  SessionApiWireFixture fixture("session-2");
+  fixture.set_up_request();
+  auto& event_stream = fixture.session_server.event_stream;
+  event_stream.first->send_data(event_stream.second, "id: 7\nevent: load\ndata: {\"x0\":1}\n\n");
+  fixture.until([&] { return fixture.router->counters().load_reports > 0; });
+  fixture.session_server.requests.clear();
+  event_stream.first->send_data(event_stream.second, "", true);
+  CHECK(fixture.request_with("/events") ==
         ":authority: 127.0.0.1:*\n"
         ":method: GET\n"
         ":path: /events\n"
@@ -181,8 +183,8 @@
         "accept: text/event-stream\n"
         "last-event-id: 7\n"
         "\n");
-  events.first->data(events.second, "id: 9\nevent: lost\ndata: {\"before\":9}\n\n");
-  CHECK(bench.request_with("GET\n:path: /sessions") ==
+  event_stream.first->send_data(event_stream.second, "id: 9\nevent: lost\ndata: {\"before\":9}\n\n");
+  CHECK(fixture.request_with("GET\n:path: /sessions") ==
         ":authority: 127.0.0.1:*\n"
         ":method: GET\n"
         ":path: /sessions/9b1f03aa5c7e2d41\n"
@@ -193,23 +195,23 @@
 TEST_CASE("session API bytes: every field of a set-up of version 2") {
   const auto& fields = translate::find_dialect("session-2")->of(translate::Kind::kSetUp);
   translate::Record record;
-  const auto set = [&](std::string_view name, const auto& value) {
+  const auto set_field = [&](std::string_view name, const auto& value) {
     record.set(translate::index_of(fields, name), value);
   };
   using namespace std::string_view_literals;
-  set("id", "9b1f03aa5c7e2d41"sv);
-  set("class", "voice"sv);
-  set("number", "7f3a9c21e0b4d655"sv);
-  set("description", "c=IN IP4 10.4.7.9\r\n"sv);
-  set("waitMs", std::int64_t{1500});
-  set("retailer", "acme"sv);
-  set("region", "jakarta"sv);
-  set("terminal", "TERM0001"sv);
-  set("trace", "000123"sv);
-  set("reference", "ref-1"sv);
-  set("amountMinor", std::int64_t{999'999'999'999});
-  set("currency", "360"sv);
-  set("again", std::int64_t{1});
+  set_field("id", "9b1f03aa5c7e2d41"sv);
+  set_field("class", "voice"sv);
+  set_field("number", "7f3a9c21e0b4d655"sv);
+  set_field("description", "c=IN IP4 10.4.7.9\r\n"sv);
+  set_field("waitMs", std::int64_t{1500});
+  set_field("retailer", "acme"sv);
+  set_field("region", "jakarta"sv);
+  set_field("terminal", "TERM0001"sv);
+  set_field("trace", "000123"sv);
+  set_field("reference", "ref-1"sv);
+  set_field("amountMinor", std::int64_t{999'999'999'999});
+  set_field("currency", "360"sv);
+  set_field("again", std::int64_t{1});
   CHECK(http2::write_body(fields, record) ==
         R"({"id":"9b1f03aa5c7e2d41","class":"voice","number":"7f3a9c21e0b4d655",)"
         R"("description":"c=IN IP4 10.4.7.9\r\n","waitMs":1500,"retailer":"acme","region":"jakarta",)"
