--- a/lab/fleet/checker.cpp
+++ b/lab/fleet/checker.cpp
@@ -8,44 +8,45 @@
 namespace amberknot::lab::fleet {
 namespace {
 
-using Marks = std::vector<const Event*>;
+using EventPointers = std::vector<const Event*>;
 
-/// A time in which a process or a link was not itself.
-struct Trouble {
+/// A time span in which a process or a link was subject to a fault.
+struct FaultSpan {
   Duration from{}, until = Duration::max();
-  bool unsure = true;  ///< false: a connection was ended, and both ends know
+  bool is_uncertain = true;  ///< false for a closed connection, of which both ends know
 };
 
-/// Whether a fault of that kind leaves the two ends with different knowledge of what arrived when. A
-/// connection that is ended is ended for both.
-bool leaves_unsure(std::string_view kind) {
+/// Returns true if a fault of that kind leaves the two ends of a link with different knowledge of what
+/// arrived when. A closed connection is closed for both ends.
+bool leaves_ends_uncertain(std::string_view kind) {
   return kind != "reset" && kind != "finish" && kind != "duplicate" && kind != "reorder";
 }
 
-/// The history sorted by what the rules ask.
-class View {
+/// An index of the history: the events of each call and the time spans of faults.
+class HistoryIndex {
  public:
-  explicit View(const History& history) : history_(history) {
-    // Several faults may be on at once at one link: each ends by itself.
-    std::map<std::string, std::vector<std::size_t>> open;
+  explicit HistoryIndex(const History& history) : history_(history) {
+    // A link may have several faults at the same time; each one ends on its own.
+    std::map<std::string, std::vector<std::size_t>> open_spans;
     for (const auto& event : history) {
       if (!event.call.empty()) calls_[event.call].push_back(&event);
-      const bool link = event.what == What::kFaultOn || event.what == What::kFaultOff;
-      const auto key = link ? event.who + ">" + event.peer : event.who;
-      const auto opened = open.find(key + event.text);
-      switch (event.what) {
-        case What::kKilled:
-        case What::kFrozen:
-        case What::kFaultOn:
-          open[key + event.text].push_back(troubles_[key].size());
-          troubles_[key].push_back({event.at, Duration::max(), !link || leaves_unsure(event.text)});
+      const bool is_link_event = event.kind == EventKind::kFaultOn || event.kind == EventKind::kFaultOff;
+      const auto key = is_link_event ? event.who + ">" + event.peer : event.who;
+      const auto open_faults = open_spans.find(key + event.text);
+      switch (event.kind) {
+        case EventKind::kKilled:
+        case EventKind::kFrozen:
+        case EventKind::kFaultOn:
+          open_spans[key + event.text].push_back(fault_spans_[key].size());
+          fault_spans_[key].push_back(
+              {event.time, Duration::max(), !is_link_event || leaves_ends_uncertain(event.text)});
           break;
-        case What::kReady:  // of a process that was started again
-        case What::kThawed:
-        case What::kFaultOff:
-          if (opened == open.end() || opened->second.empty()) break;
-          troubles_[key][opened->second.back()].until = event.at;
-          opened->second.pop_back();
+        case EventKind::kReady:  // the process was restarted
+        case EventKind::kThawed:
+        case EventKind::kFaultOff:
+          if (open_faults == open_spans.end() || open_faults->second.empty()) break;
+          fault_spans_[key][open_faults->second.back()].until = event.time;
+          open_faults->second.pop_back();
           break;
         default:
           break;
@@ -53,270 +54,290 @@
     }
   }
 
-  /// Whether one of the two was killed or frozen, or the link between them left them unsure in either
-  /// direction, at some time between the two moments.
-  [[nodiscard]] bool troubled(const std::string& one, const std::string& other, Duration from,
-                              Duration until) const {
-    return any(one, from, until, true) || any(other, from, until, true) ||
-           any(one + ">" + other, from, until, true) || any(other + ">" + one, from, until, true);
+  /// Returns true if, at some time from `from` to `until`, one of the two was killed or frozen, or a fault of
+  /// the link between them, in either direction, left them with different knowledge.
+  [[nodiscard]] bool had_uncertain_fault(const std::string& first, const std::string& second, Duration from,
+                                         Duration until) const {
+    return has_fault(first, from, until, true) || has_fault(second, from, until, true) ||
+           has_fault(first + ">" + second, from, until, true) ||
+           has_fault(second + ">" + first, from, until, true);
   }
-  [[nodiscard]] bool process_troubled(const std::string& who, Duration from, Duration until) const {
-    return any(who, from, until, true);
+  /// Returns true if the process was killed or frozen at some time from `from` to `until`.
+  [[nodiscard]] bool had_process_fault(const std::string& who, Duration from, Duration until) const {
+    return has_fault(who, from, until, true);
   }
-  /// Whether anything was the matter with the link between the two, ended connections included.
-  [[nodiscard]] bool link_troubled(const std::string& one, const std::string& other, Duration from,
-                                   Duration until) const {
-    return any(one + ">" + other, from, until, false) || any(other + ">" + one, from, until, false);
+  /// Returns true if the link between the two had any fault, closed connections included.
+  [[nodiscard]] bool had_link_fault(const std::string& first, const std::string& second, Duration from,
+                                    Duration until) const {
+    return has_fault(first + ">" + second, from, until, false) ||
+           has_fault(second + ">" + first, from, until, false);
   }
-  [[nodiscard]] const std::map<std::string, Marks>& calls() const { return calls_; }
+  [[nodiscard]] const std::map<std::string, EventPointers>& calls() const { return calls_; }
   [[nodiscard]] const History& history() const { return history_; }
 
  private:
-  [[nodiscard]] bool any(const std::string& key, Duration from, Duration until, bool unsure_only) const {
-    const auto found = troubles_.find(key);
-    return found != troubles_.end() &&
-           std::any_of(found->second.begin(), found->second.end(), [&](const Trouble& one) {
-             return one.from <= until && from <= one.until && (one.unsure || !unsure_only);
+  [[nodiscard]] bool has_fault(const std::string& key, Duration from, Duration until,
+                               bool uncertain_only) const {
+    const auto found = fault_spans_.find(key);
+    return found != fault_spans_.end() &&
+           std::any_of(found->second.begin(), found->second.end(), [&](const FaultSpan& span) {
+             return span.from <= until && from <= span.until && (span.is_uncertain || !uncertain_only);
            });
   }
   const History& history_;
-  std::map<std::string, Marks> calls_;
-  std::map<std::string, std::vector<Trouble>> troubles_;
+  std::map<std::string, EventPointers> calls_;
+  std::map<std::string, std::vector<FaultSpan>> fault_spans_;
 };
 
-History slice_of(const Marks& marks) {
-  History slice;
-  for (const auto* one : marks) {
-    if (one != nullptr) slice.push_back(*one);
+History sorted_events(const EventPointers& events) {
+  History sorted;
+  for (const auto* event : events) {
+    if (event != nullptr) sorted.push_back(*event);
   }
-  std::stable_sort(slice.begin(), slice.end(), [](const Event& a, const Event& b) { return a.at < b.at; });
-  return slice;
+  std::stable_sort(sorted.begin(), sorted.end(),
+                   [](const Event& a, const Event& b) { return a.time < b.time; });
+  return sorted;
 }
 
-const Event* first_of(const Marks& marks, What what) {
+const Event* first_of(const EventPointers& events, EventKind kind) {
   const auto found =
-      std::find_if(marks.begin(), marks.end(), [what](const auto* one) { return one->what == what; });
-  return found == marks.end() ? nullptr : *found;
+      std::find_if(events.begin(), events.end(), [kind](const auto* event) { return event->kind == kind; });
+  return found == events.end() ? nullptr : *found;
 }
 
-bool is_final(What what) {
-  return what == What::kAnswer || what == What::kRefused || what == What::kFailed;
+bool is_final(EventKind kind) {
+  return kind == EventKind::kAnswer || kind == EventKind::kRefused || kind == EventKind::kFailed;
 }
 
-RuleVerdict one_final_answer(const View& view, const RuleTimes& times) {
-  RuleVerdict verdict{"one final answer before the caller gives up", 0, 0, {}};
-  for (const auto& [id, marks] : view.calls()) {
-    const auto* set_up = first_of(marks, What::kSetUp);
+RuleVerdict check_final_answers(const HistoryIndex& index, const RuleLimits& limits) {
+  RuleVerdict verdict{"each call gets one final answer before its caller gives up", 0, 0, {}};
+  for (const auto& [id, events] : index.calls()) {
+    const auto* set_up = first_of(events, EventKind::kSetUp);
     if (set_up == nullptr) continue;
-    ++verdict.looked_at;
-    const Duration due = set_up->at + std::chrono::milliseconds{set_up->number} + times.slack;
-    Marks finals;
-    for (const auto* one : marks) {
-      if (is_final(one->what)) finals.push_back(one);
+    ++verdict.checked;
+    const Duration deadline = set_up->time + std::chrono::milliseconds{set_up->number} + limits.tolerance;
+    EventPointers final_answers;
+    for (const auto* event : events) {
+      if (is_final(event->kind)) final_answers.push_back(event);
     }
-    if (finals.size() > 1) {
-      verdict.violations.push_back({"a second answer", slice_of({set_up, finals[0], finals[1]})});
-    } else if (finals.empty() || finals[0]->at > due) {
-      const auto* lost = first_of(marks, What::kLost);
-      // The caller took its set-up back in time: no answer is owed.
-      const auto* gave_up = first_of(marks, What::kGaveUp);
-      if (finals.empty() && gave_up != nullptr && gave_up->at + times.slack < due) continue;
-      if (view.troubled(set_up->who, set_up->peer, set_up->at, due)) {
+    if (final_answers.size() > 1) {
+      verdict.violations.push_back({"the call got a second final answer",
+                                    sorted_events({set_up, final_answers[0], final_answers[1]})});
+    } else if (final_answers.empty() || final_answers[0]->time > deadline) {
+      const auto* lost = first_of(events, EventKind::kLost);
+      // The caller gave up in time, so no answer is required.
+      const auto* gave_up = first_of(events, EventKind::kGaveUp);
+      if (final_answers.empty() && gave_up != nullptr && gave_up->time + limits.tolerance < deadline)
+        continue;
+      if (index.had_uncertain_fault(set_up->who, set_up->peer, set_up->time, deadline)) {
         ++verdict.excused;
         continue;
       }
-      const char* what = lost != nullptr  ? "its connection ended with no answer"
-                         : finals.empty() ? "no answer"
-                                          : "answered too late";
+      const char* problem = lost != nullptr         ? "the caller's connection closed before an answer"
+                            : final_answers.empty() ? "the call got no answer"
+                                                    : "the call was answered too late";
       verdict.violations.push_back(
-          {what, slice_of({set_up, lost, gave_up, finals.empty() ? nullptr : finals[0]})});
+          {problem,
+           sorted_events({set_up, lost, gave_up, final_answers.empty() ? nullptr : final_answers[0]})});
     }
   }
   return verdict;
 }
 
-RuleVerdict true_answers(const View& view) {
-  RuleVerdict verdict{"an answer is one that a server gave for this call", 0, 0, {}};
-  for (const auto& [id, marks] : view.calls()) {
-    const auto* answer = first_of(marks, What::kAnswer);
+RuleVerdict check_answer_origins(const HistoryIndex& index) {
+  RuleVerdict verdict{"each answer was given by a server for the same call", 0, 0, {}};
+  for (const auto& [id, events] : index.calls()) {
+    const auto* answer = first_of(events, EventKind::kAnswer);
     if (answer == nullptr) continue;
-    ++verdict.looked_at;
-    const bool given = std::any_of(marks.begin(), marks.end(), [&](const auto* one) {
-      return one->what == What::kAnswered && one->text == answer->text && one->at <= answer->at;
+    ++verdict.checked;
+    const bool is_genuine = std::any_of(events.begin(), events.end(), [&](const auto* event) {
+      return event->kind == EventKind::kAnswered && event->text == answer->text &&
+             event->time <= answer->time;
     });
-    if (!given) verdict.violations.push_back({"no server gave it", slice_of(marks)});
+    if (!is_genuine) verdict.violations.push_back({"no server gave the answer", sorted_events(events)});
   }
   return verdict;
 }
 
-/// One attempt of a call as its server saw it.
+/// One attempt of a call as its server observed it.
 struct Attempt {
   const Event* invite = nullptr;
   const Event* end = nullptr;
 };
 
-std::vector<Attempt> attempts_of(const Marks& marks) {
+std::vector<Attempt> attempts_of(const EventPointers& events) {
   std::vector<Attempt> attempts;
-  for (const auto* one : marks) {
-    if (one->what == What::kInvite) attempts.push_back({one, nullptr});
-    const bool ends = one->what == What::kAnswered || one->what == What::kDenied ||
-                      one->what == What::kCancelled || one->what == What::kBroken;
+  for (const auto* event : events) {
+    if (event->kind == EventKind::kInvite) attempts.push_back({event, nullptr});
+    const bool ends = event->kind == EventKind::kAnswered || event->kind == EventKind::kDenied ||
+                      event->kind == EventKind::kCancelled || event->kind == EventKind::kBroken;
     if (!ends) continue;
-    // The server's latest attempt of this call that is still out.
-    const auto open = std::find_if(attempts.rbegin(), attempts.rend(), [&](const Attempt& attempt) {
-      return attempt.end == nullptr && attempt.invite->who == one->who;
+    // The latest attempt of this call at the server that has not ended.
+    const auto latest = std::find_if(attempts.rbegin(), attempts.rend(), [&](const Attempt& attempt) {
+      return attempt.end == nullptr && attempt.invite->who == event->who;
     });
-    if (open != attempts.rend()) open->end = one;
+    if (latest != attempts.rend()) latest->end = event;
   }
-  // A link that stalls may bring an attempt after the call's next one: they are judged as the router made
-  // them.
+  // A stalled link may deliver an attempt after the next one of its call. The attempts are therefore checked
+  // in the order in which the router made them.
   std::stable_sort(attempts.begin(), attempts.end(),
                    [](const Attempt& a, const Attempt& b) { return a.invite->number < b.invite->number; });
   return attempts;
 }
 
-RuleVerdict attempts_apart(const View& view, const RuleTimes& times) {
-  RuleVerdict verdict{"one attempt out, and none within 500 ms after a timeout, reset or cancel", 0, 0, {}};
-  for (const auto& [id, marks] : view.calls()) {
-    const auto attempts = attempts_of(marks);
+RuleVerdict check_attempt_spacing(const HistoryIndex& index, const RuleLimits& limits) {
+  RuleVerdict verdict{
+      "one attempt of a call at a time, and none within 500 ms after a timeout, reset or cancel", 0, 0, {}};
+  for (const auto& [id, events] : index.calls()) {
+    const auto attempts = attempts_of(events);
     for (std::size_t i = 1; i < attempts.size(); ++i) {
-      ++verdict.looked_at;
-      const auto& before = attempts[i - 1];
+      ++verdict.checked;
+      const auto& previous = attempts[i - 1];
       const auto& next = attempts[i];
-      const bool certain =
-          before.end != nullptr && before.end->at <= next.invite->at && before.end->what == What::kDenied;
-      if (certain) continue;  // a server's word that it is over: the next may go at once
-      const char* what = nullptr;
-      if (before.end == nullptr || before.end->at > next.invite->at) {
-        what = "two attempts out";
-      } else if (next.invite->at + times.slack < before.end->at + times.retry_pause) {
-        what = "sent again too early";
+      const bool was_refused = previous.end != nullptr && previous.end->time <= next.invite->time &&
+                               previous.end->kind == EventKind::kDenied;
+      if (was_refused) continue;  // the server refused it, so the next attempt may follow at once
+      const char* problem = nullptr;
+      if (previous.end == nullptr || previous.end->time > next.invite->time) {
+        problem = "two attempts of the call at the same time";
+      } else if (next.invite->time + limits.tolerance < previous.end->time + limits.min_retry_delay) {
+        problem = "the next attempt was sent too early";
       }
-      if (what == nullptr) continue;
-      // A router that was killed or cut off does not know what the server knows, nor the server of it.
-      const auto [from, until] = std::minmax(before.invite->at, next.invite->at);
-      if (view.troubled(before.invite->who, before.invite->peer, from, until)) {
+      if (problem == nullptr) continue;
+      // A router that was killed or cut off and its server do not know of each other's state.
+      const auto [from, until] = std::minmax(previous.invite->time, next.invite->time);
+      if (index.had_uncertain_fault(previous.invite->who, previous.invite->peer, from, until)) {
         ++verdict.excused;
       } else {
-        verdict.violations.push_back({what, slice_of({before.invite, before.end, next.invite})});
+        verdict.violations.push_back({problem, sorted_events({previous.invite, previous.end, next.invite})});
       }
     }
   }
   return verdict;
 }
 
-RuleVerdict four_tries(const View& view, const RuleTimes& times) {
-  RuleVerdict verdict{"no more tries than the settings allow", 0, 0, {}};
-  for (const auto& [id, marks] : view.calls()) {
-    Marks invites;
-    for (const auto* one : marks) {
-      if (one->what == What::kInvite) invites.push_back(one);
+RuleVerdict check_attempt_counts(const HistoryIndex& index, const RuleLimits& limits) {
+  RuleVerdict verdict{"no call has more attempts than the settings allow", 0, 0, {}};
+  for (const auto& [id, events] : index.calls()) {
+    EventPointers invites;
+    for (const auto* event : events) {
+      if (event->kind == EventKind::kInvite) invites.push_back(event);
     }
     if (invites.empty()) continue;
-    ++verdict.looked_at;
-    if (invites.size() > times.max_tries) {
-      verdict.violations.push_back({std::to_string(invites.size()) + " tries", slice_of(invites)});
+    ++verdict.checked;
+    if (invites.size() > limits.max_attempts) {
+      verdict.violations.push_back({std::to_string(invites.size()) + " attempts", sorted_events(invites)});
     }
   }
   return verdict;
 }
 
-RuleVerdict nothing_to_the_drained(const View& view, const RuleTimes& times) {
-  RuleVerdict verdict{"nothing new to a drained server after 500 ms", 0, 0, {}};
-  std::map<std::string, const Event*> drained;
-  for (const auto& event : view.history()) {
-    if (event.what == What::kDrained) {
-      drained[event.who] = &event;
-      ++verdict.looked_at;
+RuleVerdict check_drained_servers(const HistoryIndex& index, const RuleLimits& limits) {
+  RuleVerdict verdict{"no set-up reaches a draining server after 500 ms", 0, 0, {}};
+  std::map<std::string, const Event*> drain_events;
+  for (const auto& event : index.history()) {
+    if (event.kind == EventKind::kDrained) {
+      drain_events[event.who] = &event;
+      ++verdict.checked;
     }
-    if (event.what == What::kResumed) drained.erase(event.who);
-    if (event.what != What::kInvite) continue;
-    const auto found = drained.find(event.who);
-    if (found == drained.end() || event.at <= found->second->at + times.drain_grace_period + times.slack)
+    if (event.kind == EventKind::kResumed) drain_events.erase(event.who);
+    if (event.kind != EventKind::kInvite) continue;
+    const auto found = drain_events.find(event.who);
+    if (found == drain_events.end() ||
+        event.time <= found->second->time + limits.drain_grace_period + limits.tolerance)
       continue;
-    if (view.troubled(event.who, event.peer, found->second->at, event.at)) {
+    if (index.had_uncertain_fault(event.who, event.peer, found->second->time, event.time)) {
       ++verdict.excused;
     } else {
-      verdict.violations.push_back({"a set-up came", slice_of({found->second, &event})});
+      verdict.violations.push_back(
+          {"a set-up reached the draining server", sorted_events({found->second, &event})});
     }
   }
   return verdict;
 }
 
-RuleVerdict releases_told(const View& view, const RuleTimes& times) {
-  RuleVerdict verdict{"a call that is over is told to its caller", 0, 0, {}};
-  const Duration last = view.history().empty() ? Duration{} : view.history().back().at;
-  for (const auto& [id, marks] : view.calls()) {
-    const auto* answer = first_of(marks, What::kAnswer);
+RuleVerdict check_releases(const HistoryIndex& index, const RuleLimits& limits) {
+  RuleVerdict verdict{"the end of a call is reported to its caller", 0, 0, {}};
+  const Duration last = index.history().empty() ? Duration{} : index.history().back().time;
+  for (const auto& [id, events] : index.calls()) {
+    const auto* answer = first_of(events, EventKind::kAnswer);
     if (answer == nullptr) continue;
-    // The end of that very session: an earlier attempt may have stood at a server that could not say so.
-    const auto given = std::find_if(marks.begin(), marks.end(), [answer](const auto* one) {
-      return one->what == What::kAnswered && one->text == answer->text;
+    // Only the end of the answered session counts. An earlier attempt may have been established at a server
+    // whose answer did not arrive.
+    const auto answered = std::find_if(events.begin(), events.end(), [answer](const auto* event) {
+      return event->kind == EventKind::kAnswered && event->text == answer->text;
     });
-    const auto ended = std::find_if(given, marks.end(), [&](const auto* one) {
-      return one->what == What::kHungUp && one->who == (*given)->who;
+    const auto ended = std::find_if(answered, events.end(), [&](const auto* event) {
+      return event->kind == EventKind::kHungUp && event->who == (*answered)->who;
     });
-    if (ended == marks.end()) continue;
-    const auto* over = *ended;
-    const auto* told = first_of(marks, What::kReleased);
-    Duration due = over->at + times.release_within + times.slack;
-    // Where a link left the two ends unsure the release may not have been sent at all.
-    if (view.link_troubled(over->who, over->peer, answer->at, due))
-      due = over->at + times.release_late + times.slack;
-    if (due > last && told == nullptr) continue;  // the run ended before
-    ++verdict.looked_at;
-    if (told != nullptr && told->at <= due) continue;
-    // A router that was killed knows nothing of it, nor does one that is frozen tell.
-    if (view.process_troubled(over->peer, answer->at, due)) {
+    if (ended == events.end()) continue;
+    const auto* hang_up = *ended;
+    const auto* released = first_of(events, EventKind::kReleased);
+    Duration deadline = hang_up->time + limits.release_timeout + limits.tolerance;
+    // After a fault of the link the release may not have been sent at first, so a longer time limit applies.
+    if (index.had_link_fault(hang_up->who, hang_up->peer, answer->time, deadline))
+      deadline = hang_up->time + limits.late_release_timeout + limits.tolerance;
+    if (deadline > last && released == nullptr) continue;  // the run ended before the release was due
+    ++verdict.checked;
+    if (released != nullptr && released->time <= deadline) continue;
+    // A router that was killed has forgotten the call, and one that is frozen cannot report its end.
+    if (index.had_process_fault(hang_up->peer, answer->time, deadline)) {
       ++verdict.excused;
     } else {
       verdict.violations.push_back(
-          {told == nullptr ? "never told" : "told too late", slice_of({answer, over, told})});
+          {released == nullptr ? "the end was not reported" : "the end was reported too late",
+           sorted_events({answer, hang_up, released})});
     }
   }
   return verdict;
 }
 
-RuleVerdict nothing_for_who_left(const View& view, const RuleTimes& times) {
-  RuleVerdict verdict{"nothing sent on for a client that left 300 ms before", 0, 0, {}};
-  for (const auto& [id, marks] : view.calls()) {
-    const auto left = std::find_if(marks.begin(), marks.end(), [](const auto* one) {
-      return one->what == What::kGaveUp || one->what == What::kLost;
+RuleVerdict check_departed_callers(const HistoryIndex& index, const RuleLimits& limits) {
+  RuleVerdict verdict{"no set-up is sent for a caller that left more than 300 ms before", 0, 0, {}};
+  for (const auto& [id, events] : index.calls()) {
+    const auto departure = std::find_if(events.begin(), events.end(), [](const auto* event) {
+      return event->kind == EventKind::kGaveUp || event->kind == EventKind::kLost;
     });
-    if (left == marks.end()) continue;
-    ++verdict.looked_at;
-    for (auto at = left; at != marks.end(); ++at) {
-      const auto* sent = *at;
-      if (sent->what != What::kInvite || sent->at <= (*left)->at + times.left_grace + times.slack) continue;
-      // A router that was frozen or cut off from its caller did not know; one cut off from the server had
-      // sent before.
-      if (view.troubled((*left)->who, sent->peer, (*left)->at, sent->at) ||
-          view.troubled(sent->who, sent->peer, (*left)->at, sent->at)) {
+    if (departure == events.end()) continue;
+    ++verdict.checked;
+    for (auto it = departure; it != events.end(); ++it) {
+      const auto* attempt = *it;
+      if (attempt->kind != EventKind::kInvite ||
+          attempt->time <= (*departure)->time + limits.caller_left_grace_period + limits.tolerance)
+        continue;
+      // A router that was frozen or cut off from its caller did not know. If it was cut off from the server,
+      // it may have sent the attempt before the caller left.
+      if (index.had_uncertain_fault((*departure)->who, attempt->peer, (*departure)->time, attempt->time) ||
+          index.had_uncertain_fault(attempt->who, attempt->peer, (*departure)->time, attempt->time)) {
         ++verdict.excused;
       } else {
-        verdict.violations.push_back({"a set-up came", slice_of({*left, sent})});
+        verdict.violations.push_back(
+            {"a set-up was sent after the caller left", sorted_events({*departure, attempt})});
       }
     }
   }
   return verdict;
 }
 
-RuleVerdict processes_live(const View& view) {
-  RuleVerdict verdict{"no process ends that was not asked to", 0, 0, {}};
-  std::map<std::string, const Event*> asked;
-  for (const auto& event : view.history()) {
-    if (event.what == What::kStarted) {
-      ++verdict.looked_at;
-      asked.erase(event.who);
+RuleVerdict check_process_exits(const HistoryIndex& index) {
+  RuleVerdict verdict{"no process exits without being stopped or killed", 0, 0, {}};
+  std::map<std::string, const Event*> stop_requests;
+  for (const auto& event : index.history()) {
+    if (event.kind == EventKind::kStarted) {
+      ++verdict.checked;
+      stop_requests.erase(event.who);
     }
-    if (event.what == What::kKilled || event.what == What::kStopping) asked[event.who] = &event;
-    if (event.what != What::kExited) continue;
-    const auto found = asked.find(event.who);
-    // After SIGTERM the end has to be a clean one.
-    const bool clean = found != asked.end() && (found->second->what == What::kKilled || event.number == 0);
-    if (!clean) {
-      verdict.violations.push_back({"ended with " + std::to_string(event.number),
-                                    slice_of({found == asked.end() ? nullptr : found->second, &event})});
+    if (event.kind == EventKind::kKilled || event.kind == EventKind::kStopping)
+      stop_requests[event.who] = &event;
+    if (event.kind != EventKind::kExited) continue;
+    const auto found = stop_requests.find(event.who);
+    // After SIGTERM the exit status must be 0.
+    const bool is_expected =
+        found != stop_requests.end() && (found->second->kind == EventKind::kKilled || event.number == 0);
+    if (!is_expected) {
+      verdict.violations.push_back(
+          {"exited with status " + std::to_string(event.number),
+           sorted_events({found == stop_requests.end() ? nullptr : found->second, &event})});
     }
   }
   return verdict;
@@ -324,48 +345,51 @@
 
 }  // namespace
 
-bool Verdict::held() const {
-  return nothing_shown.empty() && std::all_of(rules.begin(), rules.end(),
-                                              [](const RuleVerdict& one) { return one.violations.empty(); });
+bool Verdict::has_passed() const {
+  return inconclusive_reason.empty() && std::all_of(rules.begin(), rules.end(), [](const RuleVerdict& rule) {
+           return rule.violations.empty();
+         });
 }
 
-Verdict check(const History& history, const RuleTimes& times) {
-  const View view(history);
+Verdict check(const History& history, const RuleLimits& limits) {
+  const HistoryIndex index(history);
   Verdict verdict;
-  verdict.rules = {one_final_answer(view, times),       true_answers(view),
-                   attempts_apart(view, times),         four_tries(view, times),
-                   nothing_to_the_drained(view, times), processes_live(view),
-                   releases_told(view, times),          nothing_for_who_left(view, times)};
-  const auto count = [&](What what) {
+  verdict.rules = {check_final_answers(index, limits),   check_answer_origins(index),
+                   check_attempt_spacing(index, limits), check_attempt_counts(index, limits),
+                   check_drained_servers(index, limits), check_process_exits(index),
+                   check_releases(index, limits),        check_departed_callers(index, limits)};
+  const auto count = [&](EventKind kind) {
     return std::count_if(history.begin(), history.end(),
-                         [what](const Event& one) { return one.what == what; });
+                         [kind](const Event& event) { return event.kind == kind; });
   };
-  // A run in which nothing was sent, or most was excused, breaks no rule and shows nothing.
-  const auto late = std::find_if(history.begin(), history.end(), [&](const Event& one) {
-    return one.what == What::kLate && std::chrono::milliseconds{one.number} > times.max_late;
+  // A run without calls, or in which most calls are excused, breaks no rule but proves nothing.
+  const auto late_event = std::find_if(history.begin(), history.end(), [&](const Event& event) {
+    return event.kind == EventKind::kLate &&
+           std::chrono::milliseconds{event.number} > limits.max_relay_lateness;
   });
-  if (count(What::kSetUp) == 0) verdict.nothing_shown = "no call was set up";
-  if (count(What::kAnswer) == 0) verdict.nothing_shown = "no call was answered";
-  if (verdict.rules[0].excused * 2 > verdict.rules[0].looked_at) {
-    verdict.nothing_shown = "most calls met a fault of the schedule";
+  if (count(EventKind::kSetUp) == 0) verdict.inconclusive_reason = "no set-up was sent";
+  if (count(EventKind::kAnswer) == 0) verdict.inconclusive_reason = "no call was answered";
+  if (verdict.rules[0].excused * 2 > verdict.rules[0].checked) {
+    verdict.inconclusive_reason = "most calls are excused by faults of the schedule";
   }
-  if (late != history.end()) {
-    verdict.nothing_shown = "the relay itself was late by " + std::to_string(late->number) + " ms";
+  if (late_event != history.end()) {
+    verdict.inconclusive_reason =
+        "the relay itself was late by " + std::to_string(late_event->number) + " ms";
   }
   return verdict;
 }
 
-std::string text_of(const Verdict& verdict) {
+std::string format_verdict(const Verdict& verdict) {
   std::ostringstream out;
   for (const auto& rule : verdict.rules) {
-    out << (rule.violations.empty() ? "held    " : "BROKEN  ") << rule.rule << ": " << rule.looked_at
-        << " looked at, " << rule.excused << " excused, " << rule.violations.size() << " broken\n";
+    out << (rule.violations.empty() ? "held    " : "BROKEN  ") << rule.rule << ": " << rule.checked
+        << " checked, " << rule.excused << " excused, " << rule.violations.size() << " broken\n";
     if (rule.violations.empty()) continue;
     const auto& first = rule.violations.front();
-    out << "        " << first.what << "\n";
-    for (const auto& event : first.slice) out << "        " << line_of(event) << "\n";
+    out << "        " << first.description << "\n";
+    for (const auto& event : first.events) out << "        " << to_json_line(event) << "\n";
   }
-  if (!verdict.nothing_shown.empty()) out << "VOID    " << verdict.nothing_shown << "\n";
+  if (!verdict.inconclusive_reason.empty()) out << "VOID    " << verdict.inconclusive_reason << "\n";
   return out.str();
 }
 
--- a/lab/fleet/checker.hpp
+++ b/lab/fleet/checker.hpp
@@ -1,5 +1,6 @@
-// Says of a history, rule by rule, what held: a pure function. A rule that had nothing to look at has not
-// held.
+// Checks the history of a run against the router's rules. The check is a pure function of the history and the
+// limits. A run without calls or answers, with most calls excused, or with a relay that was late proves
+// nothing and does not pass.
 #pragma once
 
 #include <string>
@@ -10,41 +11,49 @@
 
 namespace amberknot::lab::fleet {
 
-/// From the settings and the rig; PROTOCOL: every time limit on sockets is 50 ms longer.
-struct RuleTimes {
-  Duration slack = std::chrono::milliseconds{50};
+/// Limits that the rules apply. They match the settings that the fleet's routers get.
+struct RuleLimits {
+  /// Added to each time limit that is observed on sockets (PROTOCOL).
+  Duration tolerance = std::chrono::milliseconds{50};
   Duration drain_grace_period = std::chrono::milliseconds{500};
-  Duration retry_pause = std::chrono::milliseconds{500};
-  std::size_t max_tries = 4;
-  Duration left_grace = std::chrono::milliseconds{300};  ///< STANDING: a client that has left
-  Duration release_within = std::chrono::seconds{1};
-  Duration release_late = std::chrono::seconds{8};  ///< where it could not be sent before
-  /// The relay's own lateness beyond which a run proves nothing.
-  Duration max_late = std::chrono::milliseconds{50};
+  Duration min_retry_delay = std::chrono::milliseconds{500};
+  std::size_t max_attempts = 4;
+  /// How long a router may still send set-ups for a caller that has left (STANDING).
+  Duration caller_left_grace_period = std::chrono::milliseconds{300};
+  Duration release_timeout = std::chrono::seconds{1};
+  /// Replaces `release_timeout` if a link fault may have kept the release from being sent.
+  Duration late_release_timeout = std::chrono::seconds{8};
+  /// A run in which the relay itself was later than this proves nothing.
+  Duration max_relay_lateness = std::chrono::milliseconds{50};
 };
 
+/// One breach of a rule.
 struct Violation {
-  std::string what;
-  History slice;  ///< the shortest part of the history that shows it
+  std::string description;
+  History events;  ///< the events that show the breach, and no others
 };
 
+/// The result for one rule.
 struct RuleVerdict {
   std::string_view rule;
-  std::size_t looked_at = 0;
-  std::size_t excused = 0;  ///< a fault of the schedule explains it: not the router's
+  std::size_t checked = 0;  ///< cases to which the rule applied
+  std::size_t excused = 0;  ///< cases that a fault of the schedule explains; not counted against the router
   std::vector<Violation> violations;
 };
 
+/// The result of a run.
 struct Verdict {
   std::vector<RuleVerdict> rules;
-  /// The run says nothing: why. Empty: it does.
-  std::string nothing_shown;
-  [[nodiscard]] bool held() const;
+  /// Why the run proves nothing; empty if it is conclusive.
+  std::string inconclusive_reason;
+  /// Returns true if the run is conclusive and no rule was broken.
+  [[nodiscard]] bool has_passed() const;
 };
 
-Verdict check(const History& history, const RuleTimes& times);
+/// Checks `history` against each rule.
+Verdict check(const History& history, const RuleLimits& limits);
 
-/// A line for each rule, and the slices of what was broken.
-std::string text_of(const Verdict& verdict);
+/// Returns one line for each rule, and for each broken rule the events of its first violation.
+std::string format_verdict(const Verdict& verdict);
 
 }  // namespace amberknot::lab::fleet
--- a/lab/fleet/config_text.cpp
+++ b/lab/fleet/config_text.cpp
@@ -4,22 +4,22 @@
 
 namespace amberknot::lab::fleet {
 
-std::string config_text(const ConfigFacts& facts, const RuleTimes& times) {
+std::string config_text(const ConfigValues& values, const RuleLimits& limits) {
   std::ostringstream text;
-  text << R"({"name":")" << facts.name << R"(","listen":")" << facts.listen << R"(","seed":")" << std::hex
-       << facts.seed << std::dec << R"(","limits":{"cores":1,"memory_mb":64,"sockets":1024},"channel":")"
-       << facts.channel << R"(","known":)" << facts.known
+  text << R"({"name":")" << values.name << R"(","listen":")" << values.listen << R"(","seed":")" << std::hex
+       << values.seed << std::dec << R"(","limits":{"cores":1,"memory_mb":64,"sockets":1024},"channel":")"
+       << values.channel << R"(","known":)" << values.known
        << R"(,"settings":{"classes":[{"name":"till","aim_us":"1200000","deadline_us":"3000000","value":"1",)"
        << R"("late_worth":"0.1","repeat":"idempotent"}],"discovery":"pushed",)"
-       << R"("family_info":{"clear_wait_us":")" << times.retry_pause.count()
+       << R"("family_info":{"clear_wait_us":")" << limits.min_retry_delay.count()
        << R"(","class_hold_us":"900000","retry_hint":"true","self_no":"-1"},)"
        << R"("invariants":{"answer_slack_us":"20000","cold_from":"0.35","drain_grace_us":")"
-       << times.drain_grace_period.count()
+       << limits.drain_grace_period.count()
        << R"(","fall_multiple":"3","fall_us":"3000000","ramp_time_us":"2000000"},)"
        << R"("limits":{"cancel":"true","connect_timeout_us":"500000","max_retry_after_us":"2000000",)"
-       << R"("most_tries":")" << times.max_tries
+       << R"("most_tries":")" << limits.max_attempts
        << R"(","peers":"false","probes":"true","retry_after":"true"},"report":{"columns":"idle"},)"
-       << R"("round_us":"5000","self_index":"0","siblings":")" << facts.routers
+       << R"("round_us":"5000","self_index":"0","siblings":")" << values.routers
        << R"(","tenants":[{"name":"toko","quota_per_s":"100000"}]}})";
   return text.str();
 }
--- a/lab/fleet/config_text.hpp
+++ b/lab/fleet/config_text.hpp
@@ -1,5 +1,5 @@
-// The configuration of a fleet's router, as the platform would hand it out: one text for processes and for
-// the simulation, so that both run under the same settings.
+// The configuration file of a fleet's router, in the form in which the platform provides it. Router
+// processes and the simulation use the same text, so that both run with the same settings.
 #pragma once
 
 #include <string>
@@ -8,13 +8,15 @@
 
 namespace amberknot::lab::fleet {
 
-struct ConfigFacts {
+/// The values in which the configurations of two routers differ.
+struct ConfigValues {
   std::string name, listen, channel;
   std::uint64_t seed = 1;
   std::string known = R"({"cursor":0,"cmds":[]})";
   std::size_t routers = 1;
 };
 
-std::string config_text(const ConfigFacts& facts, const RuleTimes& times);
+/// Returns the configuration as JSON.
+std::string config_text(const ConfigValues& values, const RuleLimits& limits);
 
 }  // namespace amberknot::lab::fleet
--- a/lab/fleet/faults.cpp
+++ b/lab/fleet/faults.cpp
@@ -11,76 +11,80 @@
   }
 }
 
-const LinkFault* LinkFaults::on(LinkFaultKind kind, Duration at) const {
+const LinkFault* LinkFaults::active_fault(LinkFaultKind kind, Duration now) const {
   for (const auto& fault : faults_) {
-    if (fault.kind == kind && fault.at <= at && at < fault.until) return &fault;
+    if (fault.kind == kind && fault.at <= now && now < fault.until) return &fault;
   }
   return nullptr;
 }
 
-const LinkFault* LinkFaults::strikes(LinkFaultKind kind, Duration at, std::uint64_t connection) const {
-  const auto* fault = on(kind, at);
+const LinkFault* LinkFaults::connection_fault(LinkFaultKind kind, Duration now,
+                                              std::uint64_t connection) const {
+  const auto* fault = active_fault(kind, now);
   if (fault == nullptr || fault->share >= 1) return fault;
-  // The same connection draws the same all through one fault.
-  Random draw(seed_ ^ (connection * 0x9e3779b97f4a7c15ULL) ^ static_cast<std::uint64_t>(fault->at.count()),
-              name_);
-  return draw.chance(fault->share) ? fault : nullptr;
+  // Gives the same result for the same connection during the whole fault.
+  Random random(seed_ ^ (connection * 0x9e3779b97f4a7c15ULL) ^ static_cast<std::uint64_t>(fault->at.count()),
+                name_);
+  return random.chance(fault->share) ? fault : nullptr;
 }
 
-Deliveries LinkFaults::datagram(Duration at) {
+DatagramDelivery LinkFaults::deliver_datagram(Duration now) {
   using K = LinkFaultKind;
   for (const auto kind : {K::kPartition, K::kHalfOpen, K::kStall}) {
-    if (on(kind, at) != nullptr) return {};
+    if (active_fault(kind, now) != nullptr) return {};
   }
-  const auto* drop = on(K::kDrop, at);
+  const auto* drop = active_fault(K::kDrop, now);
   if (drop != nullptr && random_.chance(drop->share)) return {};
-  Deliveries to;
-  to.count = 1;
-  if (const auto* delay = on(K::kDelay, at)) {
-    to.after[0] += delay->fixed;
+  DatagramDelivery delivery;
+  delivery.count = 1;
+  if (const auto* delay = active_fault(K::kDelay, now)) {
+    delivery.delays[0] += delay->fixed;
     if (delay->jitter > Duration{}) {
-      to.after[0] += Duration{
+      delivery.delays[0] += Duration{
           static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(delay->jitter.count())))};
     }
   }
-  const auto* reorder = on(K::kReorder, at);
-  if (reorder != nullptr && random_.chance(reorder->share)) to.after[0] += reorder->fixed;
-  const auto* twice = on(K::kDuplicate, at);
-  if (twice != nullptr && random_.chance(twice->share)) {
-    to.after[1] = to.after[0] + twice->fixed;
-    to.count = 2;
+  const auto* reorder = active_fault(K::kReorder, now);
+  if (reorder != nullptr && random_.chance(reorder->share)) delivery.delays[0] += reorder->fixed;
+  const auto* duplicate = active_fault(K::kDuplicate, now);
+  if (duplicate != nullptr && random_.chance(duplicate->share)) {
+    delivery.delays[1] = delivery.delays[0] + duplicate->fixed;
+    delivery.count = 2;
   }
-  return to;
+  return delivery;
 }
 
-StreamVerdict LinkFaults::stream(Duration at, std::uint64_t connection) {
+StreamAction LinkFaults::stream_action(Duration now, std::uint64_t connection) {
   using K = LinkFaultKind;
-  using V = StreamVerdict::Kind;
-  if (strikes(K::kReset, at, connection) != nullptr) return {V::kReset, {}, {}};
-  if (strikes(K::kFinish, at, connection) != nullptr) return {V::kFinish, {}, {}};
-  if (strikes(K::kHalfOpen, at, connection) != nullptr) return {V::kVanish, {}, {}};
-  if (const auto* stall = strikes(K::kStall, at, connection)) return {V::kStop, {}, stall->until};
-  if (const auto* apart = strikes(K::kPartition, at, connection)) return {V::kHold, {}, apart->until};
-  StreamVerdict verdict;
-  if (const auto* delay = on(K::kDelay, at)) {
-    verdict.wait += delay->fixed;
+  using A = StreamAction::Kind;
+  if (connection_fault(K::kReset, now, connection) != nullptr) return {A::kReset, {}, {}};
+  if (connection_fault(K::kFinish, now, connection) != nullptr) return {A::kFinish, {}, {}};
+  if (connection_fault(K::kHalfOpen, now, connection) != nullptr) return {A::kDiscard, {}, {}};
+  if (const auto* stall = connection_fault(K::kStall, now, connection))
+    return {A::kPauseReading, {}, stall->until};
+  if (const auto* partition = connection_fault(K::kPartition, now, connection))
+    return {A::kHold, {}, partition->until};
+  StreamAction action;
+  if (const auto* delay = active_fault(K::kDelay, now)) {
+    action.delay += delay->fixed;
     if (delay->jitter > Duration{}) {
-      verdict.wait += Duration{
+      action.delay += Duration{
           static_cast<std::int64_t>(random_.below(static_cast<std::uint64_t>(delay->jitter.count())))};
     }
   }
-  const auto* drop = on(K::kDrop, at);
-  if (drop != nullptr && random_.chance(drop->share)) verdict.wait += kRetransmitted;
-  return verdict;
+  const auto* drop = active_fault(K::kDrop, now);
+  if (drop != nullptr && random_.chance(drop->share)) action.delay += kRetransmissionDelay;
+  return action;
 }
 
-std::vector<Duration> LinkFaults::cuts() const {
-  std::vector<Duration> moments;
+std::vector<Duration> LinkFaults::connection_cut_times() const {
+  std::vector<Duration> times;
   for (const auto& fault : faults_) {
-    const bool cuts = fault.kind == LinkFaultKind::kReset || fault.kind == LinkFaultKind::kFinish;
-    if (cuts) moments.push_back(fault.at);
+    const bool closes_connections =
+        fault.kind == LinkFaultKind::kReset || fault.kind == LinkFaultKind::kFinish;
+    if (closes_connections) times.push_back(fault.at);
   }
-  return moments;
+  return times;
 }
 
 }  // namespace amberknot::lab::fleet
--- a/lab/fleet/faults.hpp
+++ b/lab/fleet/faults.hpp
@@ -1,5 +1,5 @@
-// What a link does with a message at a moment, after the schedule: decisions only. The relay carries them out
-// on sockets, the simulation in simulated time, and both draw the same for the same seed.
+// Decides what a link does with a message at a given time under a schedule. The relay carries the decisions
+// out on sockets, the simulation in simulated time; both draw the same random numbers for the same seed.
 #pragma once
 
 #include <array>
@@ -13,49 +13,52 @@
 
 namespace amberknot::lab::fleet {
 
-/// A datagram's ways: none is lost, two is a duplicate.
-struct Deliveries {
-  std::array<Duration, 2> after{};
+/// The copies of a datagram that arrive: none if it is lost, two if it is duplicated.
+struct DatagramDelivery {
+  std::array<Duration, 2> delays{};
   std::size_t count = 0;
 };
 
-/// What becomes of a stream's bytes that are read now.
-struct StreamVerdict {
+/// What a link does with the bytes of a stream that are read now.
+struct StreamAction {
   enum class Kind : std::uint8_t {
-    kPass,    ///< written `wait` later
-    kVanish,  ///< half open
-    kHold,    ///< kept until `until`
-    kStop,    ///< not read before `until`
-    kReset,   ///< the connection ends by RST
-    kFinish,  ///< the connection ends by FIN
+    kPass,          ///< forwards them after `delay`
+    kDiscard,       ///< discards them; the connection is half open
+    kHold,          ///< keeps them until `until`
+    kPauseReading,  ///< reads no more before `until`
+    kReset,         ///< closes the connection with RST
+    kFinish,        ///< closes the connection with FIN
   };
   Kind kind = Kind::kPass;
-  Duration wait{};
+  Duration delay{};
   Duration until{};
 };
 
-/// One direction of a link. Keeps its own stream of random numbers.
+/// The faults of one direction of a link. Each direction has its own sequence of random numbers.
 class LinkFaults {
  public:
   LinkFaults(const Schedule& schedule, const std::string& from, const std::string& to);
 
-  Deliveries datagram(Duration at);
-  /// `connection` counts a link's connections: a fault of connections strikes a share of them.
-  StreamVerdict stream(Duration at, std::uint64_t connection = 0);
-  /// When a fault begins that ends connections; the relay looks at its open ones then.
-  [[nodiscard]] std::vector<Duration> cuts() const;
+  DatagramDelivery deliver_datagram(Duration now);
+  /// `connection` is the number of the connection on its link. It selects the share of connections that a
+  /// fault of connections affects.
+  StreamAction stream_action(Duration now, std::uint64_t connection = 0);
+  /// Returns the times at which faults begin that close connections. The relay checks its open connections
+  /// then.
+  [[nodiscard]] std::vector<Duration> connection_cut_times() const;
   [[nodiscard]] const std::vector<LinkFault>& faults() const { return faults_; }
 
  private:
-  [[nodiscard]] const LinkFault* on(LinkFaultKind kind, Duration at) const;
-  [[nodiscard]] const LinkFault* strikes(LinkFaultKind kind, Duration at, std::uint64_t connection) const;
+  [[nodiscard]] const LinkFault* active_fault(LinkFaultKind kind, Duration now) const;
+  [[nodiscard]] const LinkFault* connection_fault(LinkFaultKind kind, Duration now,
+                                                  std::uint64_t connection) const;
   std::vector<LinkFault> faults_;  ///< of this direction
   std::uint64_t seed_;
   std::string name_;
   Random random_;
 };
 
-/// A stream's bytes that the network lost come this much later.
-inline constexpr Duration kRetransmitted = std::chrono::milliseconds{200};
+/// The delay that a lost segment of a stream causes.
+inline constexpr Duration kRetransmissionDelay = std::chrono::milliseconds{200};
 
 }  // namespace amberknot::lab::fleet
--- a/lab/fleet/history.hpp
+++ b/lab/fleet/history.hpp
@@ -1,5 +1,5 @@
-// What happened in a run, as every process saw it: one event a line of JSON, merged by time. The wall clock
-// of one machine, counted from the start of the run; in the simulation the simulated one.
+// The history of a run: what each process observed, one event per line of JSON, merged by time. Times count
+// from the start of the run, on the clock of the machine or, in the simulation, on the simulated clock.
 #pragma once
 
 #include <cstdint>
@@ -12,45 +12,51 @@
 
 namespace amberknot::lab::fleet {
 
-enum class What : std::uint8_t {
-  // a caller
-  kSetUp,     ///< to router `peer`; `number`: how long it waits, in ms
-  kAnswer,    ///< the call stands; `text`: the description
-  kRefused,   ///< `number`: when to come back, in ms
-  kFailed,    ///< `number`: the cause
-  kGaveUp,    ///< it waits no longer
-  kLost,      ///< its connection ended before the answer
-  kReleased,  ///< the router said that what stood is over
-  // a session server
-  kInvite,  ///< an attempt came whole, from router `peer`; `number`: which of the call's, from 1; 0: unknown
-  kAnswered,   ///< `text`: the description
-  kDenied,     ///< `number`: the status
-  kCancelled,  ///< the router gave the attempt up
-  kBroken,     ///< the connection of an attempt that was out ended
-  kHungUp,     ///< what stood is over, by the server's word
-  kEnded,      ///< what stood is over, by the router's word
-  kDrained,    ///< the list has said that it drains
-  kResumed,    ///< the list has said that it is ready
-  // a process
+/// The kind of an event. It determines what the other fields of the event mean.
+enum class EventKind : std::uint8_t {
+  // Observed by a caller
+  kSetUp,     ///< sent a set-up to router `peer`; `number`: how long the caller waits, in ms
+  kAnswer,    ///< the call is established; `text`: the session description
+  kRefused,   ///< the call was refused; `number`: when to retry, in ms
+  kFailed,    ///< the call failed; `number`: the cause
+  kGaveUp,    ///< the caller has stopped waiting
+  kLost,      ///< the connection closed before the answer
+  kReleased,  ///< the router reported the end of an established call
+  // Observed by a session server
+  /// A complete attempt arrived from router `peer`; `number`: the number of the attempt of its call, from 1,
+  /// or 0
+  /// if unknown.
+  kInvite,
+  kAnswered,   ///< the server answered; `text`: the session description
+  kDenied,     ///< the server refused the attempt; `number`: the status
+  kCancelled,  ///< the router cancelled the attempt
+  kBroken,     ///< the connection closed during an attempt
+  kHungUp,     ///< the server ended an established call
+  kEnded,      ///< the router ended an established call
+  kDrained,    ///< the endpoint list reported the server as draining
+  kResumed,    ///< the endpoint list reported the server as ready again
+  // Observed of a process
   kStarted,
   kReady,
   kKilled,
   kFrozen,
   kThawed,
   kStopping,
-  kExited,  ///< `number`: its status; a signal's number below zero
-  // the relay
-  kFaultOn,  ///< `text`: the kind; `who` and `peer`: the link
+  kExited,  ///< `number`: the exit status, or the negative number of the signal
+  // Observed by the relay
+  kFaultOn,  ///< a fault began; `text`: its kind; `who` and `peer`: the link
   kFaultOff,
-  kLate,  ///< the relay itself was late; `number`: by so many ms
+  kLate,  ///< the relay itself was late; `number`: by how much, in ms
   kCount
 };
-std::string_view name_of(What what);
+/// Returns the name of the kind in a history file.
+std::string_view name_of(EventKind kind);
 
+/// One event of a history.
 struct Event {
-  Duration at{};
-  std::string who;
-  What what = What::kSetUp;
+  Duration time{};
+  std::string who;  ///< the caller, server, process or relay that observed it
+  EventKind kind = EventKind::kSetUp;
   std::string call;
   std::string peer;
   std::int64_t number = 0;
@@ -60,11 +66,14 @@
 
 using History = std::vector<Event>;
 
-std::string line_of(const Event& event);
-std::optional<Event> read_line(std::string_view line);
-/// One event a line; a last line that was cut short by a crash is left out and counted.
-History read_history(std::string_view text, std::size_t& unreadable);
-/// In the order of time; events of one moment stay in the order of their sources.
-History merged(std::vector<History> parts);
+/// Returns the event as one line of JSON, without the line break.
+std::string to_json_line(const Event& event);
+/// Returns nullopt if the line is not a valid event.
+std::optional<Event> parse_event(std::string_view line);
+/// Parses one event per line. Skips lines that are not valid, such as a last line that a crash truncated, and
+/// adds their number to `unreadable`.
+History parse_history(std::string_view text, std::size_t& unreadable);
+/// Merges histories in order of time. Events of the same time keep the order of their sources.
+History merge_by_time(std::vector<History> parts);
 
 }  // namespace amberknot::lab::fleet
--- a/lab/fleet/process.cpp
+++ b/lab/fleet/process.cpp
@@ -12,34 +12,34 @@
 
 namespace amberknot::lab::fleet {
 
-Process::Process(const std::vector<std::string>& words, const std::map<std::string, std::string>& variables,
-                 const std::string& log) {
-  std::vector<std::string> texts;
-  for (char** at = environ; *at != nullptr; ++at) {
-    const std::string one = *at;
-    if (!variables.contains(one.substr(0, one.find('=')))) texts.push_back(one);
+Process::Process(const std::vector<std::string>& arguments,
+                 const std::map<std::string, std::string>& variables, const std::string& log) {
+  std::vector<std::string> entries;
+  for (char** variable = environ; *variable != nullptr; ++variable) {
+    const std::string entry = *variable;
+    if (!variables.contains(entry.substr(0, entry.find('=')))) entries.push_back(entry);
   }
-  for (const auto& [name, value] : variables) texts.push_back(name + "=" + value);
-  std::vector<char*> environment;
-  for (auto& one : texts) environment.push_back(one.data());
-  environment.push_back(nullptr);
-  auto copy = words;
-  std::vector<char*> arguments;
-  for (auto& one : copy) arguments.push_back(one.data());
-  arguments.push_back(nullptr);
+  for (const auto& [name, value] : variables) entries.push_back(name + "=" + value);
+  std::vector<char*> environment_pointers;
+  for (auto& entry : entries) environment_pointers.push_back(entry.data());
+  environment_pointers.push_back(nullptr);
+  auto argument_copies = arguments;
+  std::vector<char*> argument_pointers;
+  for (auto& entry : argument_copies) argument_pointers.push_back(entry.data());
+  argument_pointers.push_back(nullptr);
 
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log.c_str(),
                                    O_WRONLY | O_CREAT | O_TRUNC | O_APPEND, 0644);
   posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-  // The caller's sockets are not inherited: a connection ends only once its last descriptor is closed, and a
-  // copy in the new process, which nobody reads, would keep it open for the other side.
+  // The new process inherits no sockets: a connection closes only when its last descriptor is closed, so that
+  // a copy in the new process would keep the connection open for the other side.
   posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
-  const int error =
-      posix_spawn(&id_, words.front().c_str(), &actions, nullptr, arguments.data(), environment.data());
+  const int error = posix_spawn(&id_, arguments.front().c_str(), &actions, nullptr, argument_pointers.data(),
+                                environment_pointers.data());
   posix_spawn_file_actions_destroy(&actions);
-  if (error != 0) throw std::system_error(error, std::generic_category(), words.front());
+  if (error != 0) throw std::system_error(error, std::generic_category(), arguments.front());
 }
 
 Process::~Process() {
@@ -48,11 +48,11 @@
   ::waitpid(id_, nullptr, 0);
 }
 
-void Process::signal(int number) const {
+void Process::send_signal(int number) const {
   if (!status_) ::kill(id_, number);
 }
 
-std::optional<int> Process::ended() {
+std::optional<int> Process::exit_status() {
   int status = 0;
   if (!status_ && ::waitpid(id_, &status, WNOHANG) == id_) {
     status_ = WIFSIGNALED(status) ? -WTERMSIG(status) : WEXITSTATUS(status);
--- a/lab/fleet/process.hpp
+++ b/lab/fleet/process.hpp
@@ -1,4 +1,4 @@
-// One process of the program under test: started, signalled and ended by its own id.
+// Starts a process of the program under test, sends it signals and reaps it, always by its own process id.
 #pragma once
 
 #include <sys/types.h>
@@ -10,19 +10,23 @@
 
 namespace amberknot::lab::fleet {
 
+/// A child process.
 class Process {
  public:
-  /// Output and errors go to `log`, which is begun anew; no other open file is inherited. Throws
-  /// std::system_error.
-  Process(const std::vector<std::string>& words, const std::map<std::string, std::string>& variables,
+  /// Starts `arguments[0]` with the given arguments and additional environment variables. Truncates the file
+  /// `log` and redirects standard output and standard error to it; the process inherits no other open file.
+  /// Throws std::system_error if the process cannot be started.
+  Process(const std::vector<std::string>& arguments, const std::map<std::string, std::string>& variables,
           const std::string& log);
-  ~Process();  ///< ends it where it still runs
+  ~Process();  ///< kills and reaps the process if it still runs
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  void signal(int number) const;
-  /// Its status once it has ended, a signal's number below zero; nothing while it runs.
-  std::optional<int> ended();
+  /// Sends the signal unless the process is known to have ended.
+  void send_signal(int number) const;
+  /// Returns the exit status, or the negative number of the signal that ended the process, or nullopt while
+  /// it runs.
+  std::optional<int> exit_status();
   [[nodiscard]] pid_t id() const { return id_; }
 
  private:
--- a/lab/fleet/relay.cpp
+++ b/lab/fleet/relay.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-const asio::ip::address kHere = asio::ip::address_v4::loopback();
+const asio::ip::address kLoopback = asio::ip::address_v4::loopback();
 
-void reset(tcp::socket& socket) {
+void reset_connection(tcp::socket& socket) {
   asio::error_code ignored;
   socket.set_option(asio::socket_base::linger(true, 0), ignored);
   socket.close(ignored);
@@ -22,51 +22,54 @@
 
 }  // namespace
 
-// ---- one connection -------------------------------------------------------------------------------------
+// ---- connections ----------------------------------------------------------------------------------------
 
-class StreamRelay::Pipe : public std::enable_shared_from_this<Pipe> {
+class StreamRelay::RelayedConnection : public std::enable_shared_from_this<RelayedConnection> {
  public:
-  Pipe(StreamRelay& relay, tcp::socket near, std::uint64_t number)
+  RelayedConnection(StreamRelay& relay, tcp::socket client, std::uint64_t number)
       : relay_(&relay),
         number_(number),
-        near_(std::move(near), relay.forth_),
-        far_(tcp::socket(relay.scene_.io), relay.back_) {
-    near_.other = &far_;
-    far_.other = &near_;
+        client_side_(std::move(client), relay.forward_faults_),
+        target_side_(tcp::socket(relay.scene_.io), relay.backward_faults_) {
+    client_side_.peer = &target_side_;
+    target_side_.peer = &client_side_;
   }
 
   void connect() {
-    far_.socket.async_connect(relay_->target_, [self = shared_from_this()](const asio::error_code& error) {
-      if (self->over_) return;
-      if (error) {
-        // The relay has accepted in the target's name: a refusal shows as a reset.
-        self->end(StreamVerdict::Kind::kReset);
-        return;
-      }
-      for (auto* side : {&self->near_, &self->far_}) {
-        asio::error_code ignored;
-        side->socket.set_option(tcp::no_delay(true), ignored);
-        self->read(*side);
-      }
-    });
+    target_side_.socket.async_connect(relay_->target_,
+                                      [self = shared_from_this()](const asio::error_code& error) {
+                                        if (self->is_closed_) return;
+                                        if (error) {
+                                          // The relay has already accepted the connection, so a refusal by
+                                          // the target becomes a reset.
+                                          self->close(StreamAction::Kind::kReset);
+                                          return;
+                                        }
+                                        for (auto* side : {&self->client_side_, &self->target_side_}) {
+                                          asio::error_code ignored;
+                                          side->socket.set_option(tcp::no_delay(true), ignored);
+                                          self->read(*side);
+                                        }
+                                      });
   }
-  /// The first bytes wait until a fault is over; a connection that never comes up reads and drops.
-  void connect_at(Duration moment) {
-    timer_.emplace(relay_->scene_.io, moment - relay_->scene_.now());
+  /// Connects to the target at the time at which a fault ends. Until then nothing is read.
+  void connect_at(Duration time) {
+    timer_.emplace(relay_->scene_.io, time - relay_->scene_.now());
     timer_->async_wait([self = shared_from_this()](const asio::error_code& error) {
-      if (!error && !self->over_) self->connect();
+      if (!error && !self->is_closed_) self->connect();
     });
   }
-  void swallow() { read(near_); }
+  /// Reads and discards, for a connection that is half open from its start.
+  void discard_input() { read(client_side_); }
   [[nodiscard]] std::uint64_t number() const { return number_; }
 
-  void end(StreamVerdict::Kind how) {
-    if (std::exchange(over_, true)) return;
-    for (auto* side : {&near_, &far_}) {
+  void close(StreamAction::Kind kind) {
+    if (std::exchange(is_closed_, true)) return;
+    for (auto* side : {&client_side_, &target_side_}) {
       side->timer.cancel();
       asio::error_code ignored;
-      if (how == StreamVerdict::Kind::kReset) {
-        reset(side->socket);
+      if (kind == StreamAction::Kind::kReset) {
+        reset_connection(side->socket);
       } else {
         side->socket.shutdown(tcp::socket::shutdown_send, ignored);
         side->socket.close(ignored);
@@ -74,18 +77,20 @@
     }
     if (timer_) timer_->cancel();
     if (relay_ != nullptr) {
-      ++(how == StreamVerdict::Kind::kReset ? relay_->counts_.reset : relay_->counts_.finished);
-      std::erase(relay_->pipes_, shared_from_this());
+      ++(kind == StreamAction::Kind::kReset ? relay_->counts_.connections_reset
+                                            : relay_->counts_.connections_finished);
+      std::erase(relay_->relayed_connections_, shared_from_this());
     }
   }
-  void abandon() {
-    end(StreamVerdict::Kind::kReset);
+  /// Closes the connection because the relay is being destroyed.
+  void on_relay_destroyed() {
+    close(StreamAction::Kind::kReset);
     relay_ = nullptr;
   }
 
  private:
   struct Chunk {
-    std::vector<char> bytes;  ///< empty: the sender has finished
+    std::vector<char> bytes;  ///< empty: the sender has closed its direction
     Duration due{};
   };
   struct Side {
@@ -93,79 +98,80 @@
         : socket(std::move(at)), timer(socket.get_executor()), faults(faults) {}
     tcp::socket socket;
     asio::steady_timer timer;
-    LinkFaults& faults;         ///< of what is read here
-    Side* other = nullptr;      ///< where that is written
-    std::deque<Chunk> waiting;  ///< read here, not yet written there
-    std::size_t held = 0;
-    bool writing = false;
-    bool paused = false;
-    bool finished = false;
-    std::array<char, 16 * 1024> in;
+    LinkFaults& faults;       ///< faults of the bytes read from this socket
+    Side* peer = nullptr;     ///< the side to which they are written
+    std::deque<Chunk> queue;  ///< read from this socket, not yet written to the other side
+    std::size_t held_bytes = 0;
+    bool is_writing = false;
+    bool is_paused = false;
+    bool is_finished = false;
+    std::array<char, 16 * 1024> buffer;
   };
 
   void read(Side& side) {
-    side.socket.async_read_some(asio::buffer(side.in), [self = shared_from_this(), &side](
-                                                           const asio::error_code& error, std::size_t got) {
-      if (self->over_ || self->relay_ == nullptr) return;
-      if (error && error != asio::error::eof) {
-        self->end(StreamVerdict::Kind::kReset);
-        return;
-      }
-      self->took(side, got, error == asio::error::eof);
-    });
+    side.socket.async_read_some(
+        asio::buffer(side.buffer),
+        [self = shared_from_this(), &side](const asio::error_code& error, std::size_t size) {
+          if (self->is_closed_ || self->relay_ == nullptr) return;
+          if (error && error != asio::error::eof) {
+            self->close(StreamAction::Kind::kReset);
+            return;
+          }
+          self->on_read(side, size, error == asio::error::eof);
+        });
   }
 
-  void took(Side& side, std::size_t got, bool finished) {
+  void on_read(Side& side, std::size_t size, bool is_finished) {
     auto& counts = relay_->counts_;
     const Duration now = relay_->scene_.now();
-    const auto verdict = side.faults.stream(now, number_);
+    const auto action = side.faults.stream_action(now, number_);
     ++counts.chunks;
-    counts.bytes += got;
-    Duration due = now + verdict.wait;
-    Duration read_again = now;
-    switch (verdict.kind) {
-      case StreamVerdict::Kind::kReset:
-      case StreamVerdict::Kind::kFinish:
-        end(verdict.kind);
+    counts.bytes += size;
+    Duration due = now + action.delay;
+    Duration next_read = now;
+    switch (action.kind) {
+      case StreamAction::Kind::kReset:
+      case StreamAction::Kind::kFinish:
+        close(action.kind);
         return;
-      case StreamVerdict::Kind::kVanish:
-        ++counts.vanished;
-        // The end of a connection vanishes too: the other side goes on believing in it.
-        if (!finished) read(side);
+      case StreamAction::Kind::kDiscard:
+        ++counts.chunks_discarded;
+        // The end of the connection is discarded as well, so that the other side keeps it open.
+        if (!is_finished) read(side);
         return;
-      case StreamVerdict::Kind::kStop:
-        read_again = verdict.until;
+      case StreamAction::Kind::kPauseReading:
+        next_read = action.until;
         [[fallthrough]];
-      case StreamVerdict::Kind::kHold:
-        ++counts.held;
-        due = verdict.until;
+      case StreamAction::Kind::kHold:
+        ++counts.chunks_held;
+        due = action.until;
         break;
-      case StreamVerdict::Kind::kPass:
+      case StreamAction::Kind::kPass:
         break;
     }
-    if (!side.waiting.empty()) due = std::max(due, side.waiting.back().due);
-    side.held += got;
-    if (got > 0 || finished) {
-      side.waiting.push_back({{side.in.data(), side.in.data() + got}, due});
-      if (finished && got > 0) side.waiting.push_back({{}, due});
+    if (!side.queue.empty()) due = std::max(due, side.queue.back().due);
+    side.held_bytes += size;
+    if (size > 0 || is_finished) {
+      side.queue.push_back({{side.buffer.data(), side.buffer.data() + size}, due});
+      if (is_finished && size > 0) side.queue.push_back({{}, due});
     }
-    side.finished = finished;
+    side.is_finished = is_finished;
     write(side);
-    if (finished) return;
-    if (read_again > now) {
-      side.paused = true;  // until what was held leaves, which is then
-    } else if (side.held >= kMaxHeldBytes) {
-      side.paused = true;
-      ++counts.pushed_back;
+    if (is_finished) return;
+    if (next_read > now) {
+      side.is_paused = true;  // until the held bytes are written, which is at the same time
+    } else if (side.held_bytes >= kMaxHeldBytes) {
+      side.is_paused = true;
+      ++counts.reads_paused;
     } else {
       read(side);
     }
   }
 
   void write(Side& side) {
-    if (side.writing || side.waiting.empty() || over_) return;
+    if (side.is_writing || side.queue.empty() || is_closed_) return;
     const Duration now = relay_->scene_.now();
-    const auto& first = side.waiting.front();
+    const auto& first = side.queue.front();
     if (first.due > now) {
       side.timer.expires_after(first.due - now);
       side.timer.async_wait([self = shared_from_this(), &side](const asio::error_code& error) {
@@ -175,24 +181,24 @@
     }
     if (first.bytes.empty()) {
       asio::error_code ignored;
-      side.other->socket.shutdown(tcp::socket::shutdown_send, ignored);
-      side.waiting.pop_front();
-      if (side.other->finished && side.other->waiting.empty()) end(StreamVerdict::Kind::kFinish);
+      side.peer->socket.shutdown(tcp::socket::shutdown_send, ignored);
+      side.queue.pop_front();
+      if (side.peer->is_finished && side.peer->queue.empty()) close(StreamAction::Kind::kFinish);
       return;
     }
-    side.writing = true;
-    asio::async_write(side.other->socket, asio::buffer(first.bytes),
+    side.is_writing = true;
+    asio::async_write(side.peer->socket, asio::buffer(first.bytes),
                       [self = shared_from_this(), &side](const asio::error_code& error, std::size_t written) {
-                        if (self->over_ || self->relay_ == nullptr) return;
-                        side.writing = false;
+                        if (self->is_closed_ || self->relay_ == nullptr) return;
+                        side.is_writing = false;
                         if (error) {
-                          self->end(StreamVerdict::Kind::kReset);
+                          self->close(StreamAction::Kind::kReset);
                           return;
                         }
-                        side.held -= written;
-                        side.waiting.pop_front();
-                        if (side.paused && side.held < kMaxHeldBytes) {
-                          side.paused = false;
+                        side.held_bytes -= written;
+                        side.queue.pop_front();
+                        if (side.is_paused && side.held_bytes < kMaxHeldBytes) {
+                          side.is_paused = false;
                           self->read(side);
                         }
                         self->write(side);
@@ -201,51 +207,51 @@
 
   StreamRelay* relay_;
   std::uint64_t number_;
-  Side near_, far_;
+  Side client_side_, target_side_;
   std::optional<asio::steady_timer> timer_;
-  bool over_ = false;
+  bool is_closed_ = false;
 };
 
 StreamRelay::StreamRelay(Scene& scene, const Schedule& schedule, const std::string& from,
                          const std::string& to, tcp::endpoint target, RelayCounts& counts)
     : scene_(scene),
-      forth_(schedule, from, to),
-      back_(schedule, to, from),
+      forward_faults_(schedule, from, to),
+      backward_faults_(schedule, to, from),
       target_(std::move(target)),
       counts_(counts),
-      acceptor_(scene.io, tcp::endpoint(kHere, 0)),
+      acceptor_(scene.io, tcp::endpoint(kLoopback, 0)),
       where_(acceptor_.local_endpoint()) {
-  watch_cuts(forth_);
-  watch_cuts(back_);
+  schedule_connection_cuts(forward_faults_);
+  schedule_connection_cuts(backward_faults_);
   accept();
 }
 
 StreamRelay::~StreamRelay() {
-  for (const auto& pipe : std::list(pipes_)) pipe->abandon();
+  for (const auto& connection : std::list(relayed_connections_)) connection->on_relay_destroyed();
 }
 
-void StreamRelay::follow(const Schedule& schedule, const std::string& from, const std::string& to) {
+void StreamRelay::set_schedule(const Schedule& schedule, const std::string& from, const std::string& to) {
   timers_.clear();
-  forth_ = LinkFaults(schedule, from, to);
-  back_ = LinkFaults(schedule, to, from);
-  watch_cuts(forth_);
-  watch_cuts(back_);
+  forward_faults_ = LinkFaults(schedule, from, to);
+  backward_faults_ = LinkFaults(schedule, to, from);
+  schedule_connection_cuts(forward_faults_);
+  schedule_connection_cuts(backward_faults_);
 }
 
-void StreamRelay::watch_cuts(const LinkFaults& faults) {
-  for (const auto moment : faults.cuts()) {
-    auto& timer = timers_.emplace_back(scene_.io, moment - scene_.now());
+void StreamRelay::schedule_connection_cuts(const LinkFaults& faults) {
+  for (const auto time : faults.connection_cut_times()) {
+    auto& timer = timers_.emplace_back(scene_.io, time - scene_.now());
     timer.async_wait([this](const asio::error_code& error) {
-      if (!error) cut_struck();
+      if (!error) apply_connection_cuts();
     });
   }
 }
 
-void StreamRelay::cut_struck() {
-  for (const auto& pipe : std::list(pipes_)) {
-    for (auto* faults : {&forth_, &back_}) {
-      const auto kind = faults->stream(scene_.now(), pipe->number()).kind;
-      if (kind == StreamVerdict::Kind::kReset || kind == StreamVerdict::Kind::kFinish) pipe->end(kind);
+void StreamRelay::apply_connection_cuts() {
+  for (const auto& connection : std::list(relayed_connections_)) {
+    for (auto* faults : {&forward_faults_, &backward_faults_}) {
+      const auto kind = faults->stream_action(scene_.now(), connection->number()).kind;
+      if (kind == StreamAction::Kind::kReset || kind == StreamAction::Kind::kFinish) connection->close(kind);
     }
   }
 }
@@ -253,39 +259,39 @@
 void StreamRelay::accept() {
   acceptor_.async_accept([this](const asio::error_code& error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (!error) admit(std::move(socket));
+    if (!error) on_accepted(std::move(socket));
     accept();
   });
 }
 
-void StreamRelay::admit(tcp::socket socket) {
+void StreamRelay::on_accepted(tcp::socket socket) {
   ++counts_.connections;
   const Duration now = scene_.now();
-  // Both directions are needed to come up.
-  const auto number = ++connections_;
-  auto verdict = forth_.stream(now, number);
-  if (const auto back = back_.stream(now, number); back.kind > verdict.kind) verdict = back;
-  if (verdict.kind == StreamVerdict::Kind::kReset) {
-    ++counts_.reset;
-    reset(socket);
+  // A connection is established only if both directions work; the more severe action applies.
+  const auto number = ++connection_count_;
+  auto action = forward_faults_.stream_action(now, number);
+  if (const auto back = backward_faults_.stream_action(now, number); back.kind > action.kind) action = back;
+  if (action.kind == StreamAction::Kind::kReset) {
+    ++counts_.connections_reset;
+    reset_connection(socket);
     return;
   }
-  if (verdict.kind == StreamVerdict::Kind::kFinish) {
-    ++counts_.finished;
+  if (action.kind == StreamAction::Kind::kFinish) {
+    ++counts_.connections_finished;
     return;
   }
-  auto pipe = std::make_shared<Pipe>(*this, std::move(socket), number);
-  pipes_.push_back(pipe);
-  switch (verdict.kind) {
-    case StreamVerdict::Kind::kVanish:
-      pipe->swallow();
+  auto connection = std::make_shared<RelayedConnection>(*this, std::move(socket), number);
+  relayed_connections_.push_back(connection);
+  switch (action.kind) {
+    case StreamAction::Kind::kDiscard:
+      connection->discard_input();
       break;
-    case StreamVerdict::Kind::kHold:
-    case StreamVerdict::Kind::kStop:
-      pipe->connect_at(verdict.until);
+    case StreamAction::Kind::kHold:
+    case StreamAction::Kind::kPauseReading:
+      connection->connect_at(action.until);
       break;
     default:
-      pipe->connect();
+      connection->connect();
       break;
   }
 }
@@ -295,20 +301,23 @@
 struct DatagramRelay::Link {
   Link(Scene& scene, const Schedule& schedule, const std::string& from_name, const std::string& to_name,
        std::size_t from, std::size_t to)
-      : socket(scene.io, udp::endpoint(kHere, 0)), faults(schedule, from_name, to_name), from(from), to(to) {
+      : socket(scene.io, udp::endpoint(kLoopback, 0)),
+        faults(schedule, from_name, to_name),
+        from(from),
+        to(to) {
     socket.non_blocking(true);
   }
   udp::socket socket;
   LinkFaults faults;
   std::size_t from, to;
-  std::size_t held = 0;
+  std::size_t held_count = 0;
   udp::endpoint sender;
-  std::array<char, 64 * 1024> in;
+  std::array<char, 64 * 1024> buffer;
 };
 
 DatagramRelay::DatagramRelay(Scene& scene, const Schedule& schedule, const std::vector<std::string>& nodes,
                              RelayCounts& counts)
-    : scene_(scene), counts_(counts), nodes_(nodes.size()) {
+    : scene_(scene), counts_(counts), node_addresses_(nodes.size()) {
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     auto& row = links_.emplace_back();
     for (std::size_t j = 0; j < nodes.size(); ++j) {
@@ -322,54 +331,54 @@
 
 DatagramRelay::~DatagramRelay() = default;
 
-udp::endpoint DatagramRelay::at(std::size_t from, std::size_t to) const {
+udp::endpoint DatagramRelay::address(std::size_t from, std::size_t to) const {
   return links_.at(from).at(to)->socket.local_endpoint();
 }
-udp::endpoint DatagramRelay::to_all(std::size_t from) const {
-  return at(from, from);
+udp::endpoint DatagramRelay::broadcast_address(std::size_t from) const {
+  return address(from, from);
 }
-void DatagramRelay::node_is_at(std::size_t node, udp::endpoint where) {
-  nodes_.at(node) = std::move(where);
+void DatagramRelay::set_node_address(std::size_t node, udp::endpoint node_address) {
+  node_addresses_.at(node) = std::move(node_address);
 }
 
 void DatagramRelay::read(Link& link) {
   link.socket.async_receive_from(
-      asio::buffer(link.in), link.sender, [this, &link](const asio::error_code& error, std::size_t got) {
+      asio::buffer(link.buffer), link.sender, [this, &link](const asio::error_code& error, std::size_t size) {
         if (error == asio::error::operation_aborted) return;
-        // Only the node itself may speak in its name.
-        if (!error && link.sender == nodes_[link.from]) {
-          auto bytes = std::make_shared<std::vector<char>>(link.in.data(), link.in.data() + got);
-          for (std::size_t to = 0; to < nodes_.size(); ++to) {
-            const bool meant = link.from == link.to ? to != link.from : to == link.to;
-            if (meant) pass(link.from, to, bytes);
+        // Forwards only datagrams that the node itself sent.
+        if (!error && link.sender == node_addresses_[link.from]) {
+          auto bytes = std::make_shared<std::vector<char>>(link.buffer.data(), link.buffer.data() + size);
+          for (std::size_t to = 0; to < node_addresses_.size(); ++to) {
+            const bool is_receiver = link.from == link.to ? to != link.from : to == link.to;
+            if (is_receiver) forward(link.from, to, bytes);
           }
         }
         read(link);
       });
 }
 
-void DatagramRelay::pass(std::size_t from, std::size_t to, std::shared_ptr<std::vector<char>> bytes) {
+void DatagramRelay::forward(std::size_t from, std::size_t to, std::shared_ptr<std::vector<char>> bytes) {
   auto& link = *links_[from][to];
   ++counts_.datagrams;
-  const auto ways = link.faults.datagram(scene_.now());
-  if (ways.count == 0) ++counts_.lost;
-  if (ways.count == 2) ++counts_.twice;
-  for (std::size_t i = 0; i < ways.count; ++i) {
+  const auto delivery = link.faults.deliver_datagram(scene_.now());
+  if (delivery.count == 0) ++counts_.datagrams_lost;
+  if (delivery.count == 2) ++counts_.datagrams_duplicated;
+  for (std::size_t i = 0; i < delivery.count; ++i) {
     const auto send = [this, from, to, bytes] {
       asio::error_code lost;
-      // The receiver knows the sender by the address at which it would answer it.
-      links_[to][from]->socket.send_to(asio::buffer(*bytes), nodes_[to], 0, lost);
+      // Sent from the address to which the receiver would reply.
+      links_[to][from]->socket.send_to(asio::buffer(*bytes), node_addresses_[to], 0, lost);
     };
-    if (ways.after[i] == Duration{}) {
+    if (delivery.delays[i] == Duration{}) {
       send();
-    } else if (link.held >= kMaxHeldDatagrams) {
-      ++counts_.lost;
+    } else if (link.held_count >= kMaxHeldDatagrams) {
+      ++counts_.datagrams_lost;
     } else {
-      ++link.held;
-      auto timer = std::make_shared<asio::steady_timer>(scene_.io, ways.after[i]);
+      ++link.held_count;
+      auto timer = std::make_shared<asio::steady_timer>(scene_.io, delivery.delays[i]);
       timer->async_wait([send, timer, &link](const asio::error_code& error) {
         if (error) return;
-        --link.held;
+        --link.held_count;
         send();
       });
     }
@@ -379,25 +388,26 @@
 // ---- lateness -------------------------------------------------------------------------------------------
 
 namespace {
-constexpr Duration kWatchEvery = milliseconds{10};
+constexpr Duration kCheckInterval = milliseconds{10};
 }
 
-LatenessWatch::LatenessWatch(Scene& scene, Duration most) : scene_(scene), most_(most), timer_(scene.io) {
-  wait();
+LatenessMonitor::LatenessMonitor(Scene& scene, Duration threshold)
+    : scene_(scene), threshold_(threshold), timer_(scene.io) {
+  schedule_check();
 }
 
-void LatenessWatch::wait() {
-  const Duration due = scene_.now() + kWatchEvery;
-  timer_.expires_after(kWatchEvery);
+void LatenessMonitor::schedule_check() {
+  const Duration due = scene_.now() + kCheckInterval;
+  timer_.expires_after(kCheckInterval);
   timer_.async_wait([this, due](const asio::error_code& error) {
     if (error) return;
     const Duration late = scene_.now() - due;
-    worst_ = std::max(worst_, late);
-    if (late > most_) {
-      scene_.note({scene_.now(), "relay", What::kLate, "", "",
+    max_lateness_ = std::max(max_lateness_, late);
+    if (late > threshold_) {
+      scene_.note({scene_.now(), "relay", EventKind::kLate, "", "",
                    std::chrono::duration_cast<milliseconds>(late).count(), ""});
     }
-    wait();
+    schedule_check();
   });
 }
 
--- a/lab/fleet/relay.hpp
+++ b/lab/fleet/relay.hpp
@@ -1,5 +1,6 @@
-// The fault relay: sits on every link, and does to its bytes and datagrams what the schedule says. One
-// thread; what it holds for one connection or link is bounded. It says so when it is itself late.
+// The fault relay. It forwards the bytes and datagrams of every link and applies the faults of the schedule
+// to them. It runs on one thread, holds a bounded amount of data for each connection or link, and records
+// when it is late itself.
 #pragma once
 
 #include <asio.hpp>
@@ -16,27 +17,27 @@
 
 namespace amberknot::lab::fleet {
 
-/// The run's clock and where its events go.
+/// What the parts of a run share: the I/O context, the clock of the run and the recorder of events.
 struct Scene {
   asio::io_context& io;
   std::function<Duration()> now;
   std::function<void(Event)> note;
 };
 
-/// What the relay did, by kind, for the run's summary.
+/// Counters of what the relay did, for the summary of the run.
 struct RelayCounts {
   std::uint64_t connections = 0, chunks = 0, bytes = 0;
-  std::uint64_t datagrams = 0, lost = 0, twice = 0;
-  std::uint64_t held = 0, vanished = 0, reset = 0, finished = 0;
-  std::uint64_t pushed_back = 0;  ///< reads put off since a bound was reached
+  std::uint64_t datagrams = 0, datagrams_lost = 0, datagrams_duplicated = 0;
+  std::uint64_t chunks_held = 0, chunks_discarded = 0, connections_reset = 0, connections_finished = 0;
+  std::uint64_t reads_paused = 0;  ///< reads postponed because kMaxHeldBytes was reached
 };
 
-/// Bytes that one direction of a connection may hold; beyond it nothing is read.
+/// Bytes held for one direction of a connection at which the relay stops reading.
 inline constexpr std::size_t kMaxHeldBytes = 256 * 1024;
-/// Datagrams that one link may hold; beyond it they are lost.
+/// Datagrams held for one link at which the relay drops further ones.
 inline constexpr std::size_t kMaxHeldDatagrams = 1024;
 
-/// One TCP link: what connects to `where()` is carried to the target.
+/// One TCP link. Forwards each connection to the address `where()` to the target.
 class StreamRelay {
  public:
   StreamRelay(Scene& scene, const Schedule& schedule, const std::string& from, const std::string& to,
@@ -45,30 +46,31 @@
   StreamRelay(const StreamRelay&) = delete;
   StreamRelay& operator=(const StreamRelay&) = delete;
 
+  /// Returns the address on which the relay listens.
   [[nodiscard]] asio::ip::tcp::endpoint where() const { return where_; }
-  /// Another schedule from now on: a fleet's faults begin once it is up.
-  void follow(const Schedule& schedule, const std::string& from, const std::string& to);
+  /// Replaces the schedule. The faults of a fleet begin only when all of its routers are ready.
+  void set_schedule(const Schedule& schedule, const std::string& from, const std::string& to);
 
  private:
-  class Pipe;
+  class RelayedConnection;
   void accept();
-  void admit(asio::ip::tcp::socket socket);
-  void cut_struck();
-  void watch_cuts(const LinkFaults& faults);
+  void on_accepted(asio::ip::tcp::socket socket);
+  void apply_connection_cuts();
+  void schedule_connection_cuts(const LinkFaults& faults);
 
   Scene& scene_;
-  LinkFaults forth_, back_;
+  LinkFaults forward_faults_, backward_faults_;
   asio::ip::tcp::endpoint target_;
   RelayCounts& counts_;
-  std::uint64_t connections_ = 0;
+  std::uint64_t connection_count_ = 0;
   asio::ip::tcp::acceptor acceptor_;
   asio::ip::tcp::endpoint where_;
-  std::list<std::shared_ptr<Pipe>> pipes_;
+  std::list<std::shared_ptr<RelayedConnection>> relayed_connections_;
   std::list<asio::steady_timer> timers_;
 };
 
-/// All datagrams between some nodes. Node i writes to node j at `at(i, j)`, and j gets what i said from
-/// `at(j, i)`, so that an answer finds its way back.
+/// All datagram links between a set of nodes. Node i sends to node j at the address `address(i, j)`, and j
+/// receives these datagrams from `address(j, i)`, so that a reply to the sender's address reaches i.
 class DatagramRelay {
  public:
   DatagramRelay(Scene& scene, const Schedule& schedule, const std::vector<std::string>& nodes,
@@ -77,32 +79,33 @@
   DatagramRelay(const DatagramRelay&) = delete;
   DatagramRelay& operator=(const DatagramRelay&) = delete;
 
-  [[nodiscard]] asio::ip::udp::endpoint at(std::size_t from, std::size_t to) const;
-  /// What a node writes here goes to all others.
-  [[nodiscard]] asio::ip::udp::endpoint to_all(std::size_t from) const;
-  /// Where a node reads and from where it writes.
-  void node_is_at(std::size_t node, asio::ip::udp::endpoint where);
+  [[nodiscard]] asio::ip::udp::endpoint address(std::size_t from, std::size_t to) const;
+  /// Returns the address at which a node sends to all other nodes.
+  [[nodiscard]] asio::ip::udp::endpoint broadcast_address(std::size_t from) const;
+  /// Sets the address at which a node receives and from which it sends.
+  void set_node_address(std::size_t node, asio::ip::udp::endpoint node_address);
 
  private:
   struct Link;
   void read(Link& link);
-  void pass(std::size_t from, std::size_t to, std::shared_ptr<std::vector<char>> bytes);
+  void forward(std::size_t from, std::size_t to, std::shared_ptr<std::vector<char>> bytes);
   Scene& scene_;
   RelayCounts& counts_;
-  std::vector<asio::ip::udp::endpoint> nodes_;
-  std::vector<std::vector<std::unique_ptr<Link>>> links_;  ///< [from][to]; [from][from] is for all
+  std::vector<asio::ip::udp::endpoint> node_addresses_;
+  std::vector<std::vector<std::unique_ptr<Link>>> links_;  ///< [from][to]; [from][from] broadcasts
 };
 
-/// Notes when the one thread was late, since a late relay looks like a slow router.
-class LatenessWatch {
+/// Records when the thread of the run is late, since a late relay looks like a slow router.
+class LatenessMonitor {
  public:
-  LatenessWatch(Scene& scene, Duration most);
-  [[nodiscard]] Duration worst() const { return worst_; }
+  LatenessMonitor(Scene& scene, Duration threshold);
+  /// Returns the greatest lateness observed so far.
+  [[nodiscard]] Duration max_lateness() const { return max_lateness_; }
 
  private:
-  void wait();
+  void schedule_check();
   Scene& scene_;
-  Duration most_, worst_{};
+  Duration threshold_, max_lateness_{};
   asio::steady_timer timer_;
 };
 
--- a/lab/fleet/runner.cpp
+++ b/lab/fleet/runner.cpp
@@ -23,48 +23,52 @@
 
 namespace {
 
-constexpr Duration kReadyWithin = seconds{10};
-// PROTOCOL and DAYS: SIGKILL comes no sooner than the longest deadline, which is 3 s here, plus 0.7 s.
-constexpr Duration kKilledAfter = milliseconds{3700};
-constexpr Duration kEndsWithin = milliseconds{4500};
-constexpr Duration kLookEvery = milliseconds{10};
-
-/// A port that stays ours while processes that listen there come and go: bound, shared and never listening.
-class HeldPort {
+constexpr Duration kReadyTimeout = seconds{10};
+// The platform sends SIGKILL no earlier than the longest deadline, which is 3 s here, plus 0.7 s after
+// SIGTERM (PROTOCOL, DAYS).
+constexpr Duration kKillDelay = milliseconds{3700};
+constexpr Duration kExitTimeout = milliseconds{4500};
+constexpr Duration kPollInterval = milliseconds{10};
+
+/// Reserves a port while processes that listen on it start and end. The socket is bound with the port shared,
+/// and never listens.
+class ReservedPort {
  public:
-  explicit HeldPort(asio::io_context& io) : socket_(io) {
+  explicit ReservedPort(asio::io_context& io) : socket_(io) {
     net::bind_shared(socket_, {asio::ip::address_v4::loopback(), 0});
-    where_ = socket_.local_endpoint();
+    address_ = socket_.local_endpoint();
   }
-  [[nodiscard]] const tcp::endpoint& where() const { return where_; }
+  [[nodiscard]] const tcp::endpoint& address() const { return address_; }
 
  private:
   tcp::acceptor socket_;
-  tcp::endpoint where_;
+  tcp::endpoint address_;
 };
 
+/// A router of the fleet, with its relay links, callers and processes.
 struct Router {
   std::string name;
-  std::unique_ptr<HeldPort> port;
-  std::unique_ptr<Channel> channel;
+  std::unique_ptr<ReservedPort> port;
+  std::unique_ptr<CommandChannel> channel;
   std::vector<std::unique_ptr<StreamRelay>> to_servers;
   std::unique_ptr<Callers> callers;
   std::unique_ptr<Process> process;
-  std::unique_ptr<Process> leaving;  ///< the one that `process` replaces
-  std::size_t starts = 0;
+  std::unique_ptr<Process> replaced_process;  ///< the process that `process` replaces
+  std::size_t start_count = 0;
   std::string folder;
-  bool awaited = false;  ///< started, not yet ready
+  bool is_starting = false;  ///< started, but not ready yet
 };
 
+/// One run of a fleet.
 class Fleet {
  public:
   explicit Fleet(const FleetOptions& options)
       : options_(options),
-        started_(net::Loop::now()),
-        scene_{loop_.io, [this] { return net::Loop::now() - started_; },
-               [this](Event event) { note(std::move(event)); }},
+        started_at_(net::Loop::now()),
+        scene_{loop_.io, [this] { return net::Loop::now() - started_at_; },
+               [this](Event event) { record(std::move(event)); }},
         log_(spdlog::basic_logger_mt(options.folder, options.folder + "/history.jsonl", true)),
-        watch_(scene_, options.times.max_late) {
+        lateness_monitor_(scene_, options.limits.max_relay_lateness) {
     log_->set_pattern("%v");
   }
   ~Fleet() { spdlog::drop(options_.folder); }
@@ -72,35 +76,36 @@
   Fleet& operator=(const Fleet&) = delete;
 
   FleetResult run() {
-    // The schedule's clock starts when all are ready: until then the links know no faults.
-    set_up();
+    // The times of the schedule count from when all routers are ready. Until then the links have no faults.
+    create_fleet();
     for (auto& router : routers_) start(router);
-    wait_until([this] { return all_ready(); }, kReadyWithin, "a router was never ready");
-    arm();
+    wait_until([this] { return are_all_ready(); }, kReadyTimeout,
+               "fleet: a router did not become ready in time");
+    start_schedule();
     const Duration end = scene_.now() + options_.schedule.length;
-    for (auto& router : routers_) router.callers->call_until(end - options_.patience);
+    for (auto& router : routers_) router.callers->call_until(end - options_.caller_timeout);
     wait_until([&] { return scene_.now() >= end; }, Duration::max(), "");
     stop_all();
     FleetResult result;
-    result.history = merged({std::move(history_)});
-    result.verdict = check(result.history, options_.times);
-    result.relay = counts_;
-    result.worst_late = watch_.worst();
+    result.history = merge_by_time({std::move(history_)});
+    result.verdict = check(result.history, options_.limits);
+    result.relay_counts = counts_;
+    result.max_lateness = lateness_monitor_.max_lateness();
     result.restarts = restarts_;
     log_->flush();
     return result;
   }
 
  private:
-  void note(Event event) {
-    log_->info(line_of(event));
+  void record(Event event) {
+    log_->info(to_json_line(event));
     history_.push_back(std::move(event));
   }
-  void note(const std::string& who, What what, std::int64_t number = 0) {
-    note({scene_.now(), who, what, "", "", number, ""});
+  void record(const std::string& who, EventKind kind, std::int64_t number = 0) {
+    record({scene_.now(), who, kind, "", "", number, ""});
   }
 
-  void set_up() {
+  void create_fleet() {
     std::vector<std::string> names;
     for (std::size_t i = 0; i < options_.servers; ++i) {
       servers_.push_back(std::make_unique<SipServer>(loop_, scene_, "s" + std::to_string(i), options_.traits,
@@ -109,251 +114,264 @@
     for (std::size_t i = 0; i < options_.routers; ++i) {
       auto& router = routers_.emplace_back();
       router.name = "n" + std::to_string(i);
-      router.port = std::make_unique<HeldPort>(loop_.io);
+      router.port = std::make_unique<ReservedPort>(loop_.io);
       router.folder = options_.folder + "/" + router.name;
       std::filesystem::create_directories(router.folder + "/tmp");
       for (const auto& server : servers_) {
-        router.to_servers.push_back(std::make_unique<StreamRelay>(scene_, moved_, router.name, server->name(),
+        router.to_servers.push_back(std::make_unique<StreamRelay>(scene_, shifted_schedule_, router.name,
+                                                                  server->name(),
                                                                   server->listen_for(router.name), counts_));
       }
-      router.channel = std::make_unique<Channel>(loop_, nodes_text(router, "ready", {}, true));
+      router.channel = std::make_unique<CommandChannel>(loop_, endpoint_list_json(router, "ready", {}, true));
     }
   }
 
-  /// The list as one router hears it: each server stands behind that router's own relay.
-  [[nodiscard]] std::string nodes_text(const Router& router, const std::string& state,
-                                       const std::vector<std::string>& only, bool whole) const {
+  /// Returns the endpoint list for one router, in which each server has the address of that router's own
+  /// relay link.
+  [[nodiscard]] std::string endpoint_list_json(const Router& router, const std::string& state,
+                                               const std::vector<std::string>& server_patterns,
+                                               bool is_snapshot) const {
     std::string text;
     for (std::size_t i = 0; i < servers_.size(); ++i) {
       const auto& name = servers_[i]->name();
-      if (!whole && !covers(only, name)) continue;
+      if (!is_snapshot && !covers(server_patterns, name)) continue;
       text += std::string(text.empty() ? "" : ",") + "{\"name\":\"" + name + "\",\"address\":\"" +
               net::text_of(router.to_servers[i]->where()) +
               "\",\"zone\":\"z\",\"type\":\"std\",\"group\":0,\"status\":\"" + state +
               "\",\"weight\":1,\"since_ms\":0}";
     }
-    return std::string("{\"index\":1,\"snapshot\":") + (whole ? "true" : "false") + ",\"endpoints\":[" +
+    return std::string("{\"index\":1,\"snapshot\":") + (is_snapshot ? "true" : "false") + ",\"endpoints\":[" +
            text + "]}";
   }
 
   void write_config(const Router& router) const {
     std::ofstream(router.folder + "/config.json") << config_text(
-        {router.name, net::text_of(router.port->where()), net::text_of(router.channel->where()),
-         options_.schedule.seed, router.channel->known(), options_.routers},
-        options_.times);
+        {router.name, net::text_of(router.port->address()), net::text_of(router.channel->address()),
+         options_.schedule.seed, router.channel->known_events(), options_.routers},
+        options_.limits);
   }
 
   void start(Router& router) {
     write_config(router);
-    router.awaited = true;
-    note(router.name, What::kStarted);
+    router.is_starting = true;
+    record(router.name, EventKind::kStarted);
     router.process = spawn(router);
     if (!router.callers) {
       router.callers = std::make_unique<Callers>(loop_, scene_, "c" + router.name.substr(1), router.name,
-                                                 router.port->where(), options_.calls_per_s,
-                                                 options_.patience, options_.schedule.seed);
+                                                 router.port->address(), options_.calls_per_s,
+                                                 options_.caller_timeout, options_.schedule.seed);
     }
-    router.callers->ask_ready();
+    router.callers->request_readiness();
   }
 
-  /// Each process has a log of its own.
-  static std::string log_of(const Router& router) {
-    return router.folder + "/log-" + std::to_string(router.starts);
+  /// Each process has its own log file.
+  static std::string log_path(const Router& router) {
+    return router.folder + "/log-" + std::to_string(router.start_count);
   }
 
-  static std::string old_name(const Router& router) { return router.name + "-old"; }
+  /// Returns the name of the replaced process in the history.
+  static std::string replaced_name(const Router& router) { return router.name + "-old"; }
 
   std::unique_ptr<Process> spawn(Router& router) {
-    ++router.starts;
+    ++router.start_count;
     return std::make_unique<Process>(
         std::vector<std::string>{options_.program},
         std::map<std::string, std::string>{{"RELAY_NAME", router.name},
-                                           {"RELAY_LISTEN", net::text_of(router.port->where())},
+                                           {"RELAY_LISTEN", net::text_of(router.port->address())},
                                            {"RELAY_CONFIG", router.folder + "/config.json"},
                                            {"RELAY_CONTROL", ""},
                                            {"TMPDIR", router.folder + "/tmp"}},
-        log_of(router));
+        log_path(router));
   }
 
-  /// The second process shares the address and the folder for temporary files with the first.
+  /// Starts a second process, which shares the listening address and the temporary folder with the first.
   void replace(Router& router) {
     write_config(router);
-    note(router.name, What::kStarted);
-    router.leaving = std::move(router.process);
+    record(router.name, EventKind::kStarted);
+    router.replaced_process = std::move(router.process);
     router.process = spawn(router);
-    hand_over(router, scene_.now() + kReadyWithin);
+    stop_replaced_process_when_ready(router, scene_.now() + kReadyTimeout);
   }
 
-  void hand_over(Router& router, Duration limit) {
-    std::ifstream log(log_of(router));
+  /// Stops the replaced process once the log of the new one shows that it serves callers. Throws
+  /// std::runtime_error if it does not by `limit`.
+  void stop_replaced_process_when_ready(Router& router, Duration limit) {
+    std::ifstream log(log_path(router));
     const std::string text((std::istreambuf_iterator<char>(log)), {});
     if (text.find(" serves callers at ") == std::string::npos) {
-      if (scene_.now() > limit) throw std::runtime_error("a replacing process was never ready");
-      at(scene_.now() + kLookEvery, [this, &router, limit] { hand_over(router, limit); });
+      if (scene_.now() > limit)
+        throw std::runtime_error("fleet: a replacing process did not become ready in time");
+      schedule_at(scene_.now() + kPollInterval,
+                  [this, &router, limit] { stop_replaced_process_when_ready(router, limit); });
       return;
     }
-    // Under a name of its own: its end excuses nothing, since the other process serves all the while.
-    note(old_name(router), What::kStopping);
-    router.leaving->signal(SIGTERM);
+    // Recorded under its own name, since its end excuses nothing: the other process serves all the time.
+    record(replaced_name(router), EventKind::kStopping);
+    router.replaced_process->send_signal(SIGTERM);
     ++restarts_;
-    at(scene_.now() + kKilledAfter, [this, &router] {
-      if (!router.leaving) return;
-      note(old_name(router), What::kKilled);
-      router.leaving->signal(SIGKILL);
+    schedule_at(scene_.now() + kKillDelay, [this, &router] {
+      if (!router.replaced_process) return;
+      record(replaced_name(router), EventKind::kKilled);
+      router.replaced_process->send_signal(SIGKILL);
     });
   }
 
-  bool all_ready() {
+  bool are_all_ready() {
     bool all = true;
     for (auto& router : routers_) {
-      look_at(router);
-      all = all && !router.awaited;
+      update_processes(router);
+      all = all && !router.is_starting;
     }
     return all;
   }
 
-  void look_at(Router& router) {
-    if (router.awaited && router.callers->ready()) {
-      router.awaited = false;
-      note(router.name, What::kReady);
+  void update_processes(Router& router) {
+    if (router.is_starting && router.callers->is_ready()) {
+      router.is_starting = false;
+      record(router.name, EventKind::kReady);
     }
-    for (auto* one : {&router.leaving, &router.process}) {
-      if (!*one) continue;
-      if (const auto status = (*one)->ended()) {
-        note(one == &router.leaving ? old_name(router) : router.name, What::kExited, *status);
-        one->reset();
+    for (auto* process : {&router.replaced_process, &router.process}) {
+      if (!*process) continue;
+      if (const auto status = (*process)->exit_status()) {
+        record(process == &router.replaced_process ? replaced_name(router) : router.name, EventKind::kExited,
+               *status);
+        process->reset();
       }
     }
   }
 
-  /// The faults' times run from now on.
-  void arm() {
+  /// Starts the schedule: the times of its faults count from now on.
+  void start_schedule() {
     const Duration from = scene_.now();
     for (const auto& fault : options_.schedule.links) {
-      auto moved = fault;
-      moved.at += from;
-      moved.until += from;
-      moved_.links.push_back(moved);
-      at(moved.at, [this, moved] { note_fault(moved, What::kFaultOn); });
-      at(moved.until, [this, moved] { note_fault(moved, What::kFaultOff); });
+      auto shifted_fault = fault;
+      shifted_fault.at += from;
+      shifted_fault.until += from;
+      shifted_schedule_.links.push_back(shifted_fault);
+      schedule_at(shifted_fault.at,
+                  [this, shifted_fault] { record_fault(shifted_fault, EventKind::kFaultOn); });
+      schedule_at(shifted_fault.until,
+                  [this, shifted_fault] { record_fault(shifted_fault, EventKind::kFaultOff); });
     }
-    moved_.seed = options_.schedule.seed;
-    // Until now the links knew no faults.
+    shifted_schedule_.seed = options_.schedule.seed;
+    // Until now the links had no faults.
     for (auto& router : routers_) {
       for (std::size_t i = 0; i < servers_.size(); ++i) {
-        router.to_servers[i]->follow(moved_, router.name, servers_[i]->name());
+        router.to_servers[i]->set_schedule(shifted_schedule_, router.name, servers_[i]->name());
       }
     }
     for (const auto& fault : options_.schedule.nodes) {
-      at(from + fault.at, [this, fault] { carry_out(fault); });
+      schedule_at(from + fault.at, [this, fault] { apply_node_fault(fault); });
     }
   }
 
-  void at(Duration moment, std::function<void()> what) {
-    loop_.after(std::max<Duration>(moment - scene_.now(), Duration::zero()), std::move(what));
+  void schedule_at(Duration time, std::function<void()> action) {
+    loop_.after(std::max<Duration>(time - scene_.now(), Duration::zero()), std::move(action));
   }
 
-  void note_fault(const LinkFault& fault, What what) {
-    const auto pair = [&](const std::string& from, const std::string& to) {
-      note({scene_.now(), from, what, "", to, 0, std::string(name_of(fault.kind))});
+  void record_fault(const LinkFault& fault, EventKind kind) {
+    const auto record_direction = [&](const std::string& from, const std::string& to) {
+      record({scene_.now(), from, kind, "", to, 0, std::string(name_of(fault.kind))});
     };
     for (const auto& router : routers_) {
       for (const auto& server : servers_) {
-        if (covers(fault, router.name, server->name())) pair(router.name, server->name());
-        if (covers(fault, server->name(), router.name)) pair(server->name(), router.name);
+        if (covers(fault, router.name, server->name())) record_direction(router.name, server->name());
+        if (covers(fault, server->name(), router.name)) record_direction(server->name(), router.name);
       }
     }
   }
 
-  void carry_out(const NodeFault& fault) {
+  void apply_node_fault(const NodeFault& fault) {
     if (fault.kind == NodeFaultKind::kDrain) {
-      drain(fault.nodes, "draining", What::kDrained);
+      drain(fault.nodes, "draining", EventKind::kDrained);
       if (fault.back_after) {
-        at(scene_.now() + *fault.back_after,
-           [this, nodes = fault.nodes] { drain(nodes, "ready", What::kResumed); });
+        schedule_at(scene_.now() + *fault.back_after,
+                    [this, nodes = fault.nodes] { drain(nodes, "ready", EventKind::kResumed); });
       }
       return;
     }
     for (auto& router : routers_) {
       if (!covers(fault.nodes, router.name) || !router.process) continue;
       if (fault.kind == NodeFaultKind::kReplace) {
-        if (!router.leaving) replace(router);
+        if (!router.replaced_process) replace(router);
         continue;
       }
-      const bool ends = fault.kind != NodeFaultKind::kFreeze;
-      note(router.name, fault.kind == NodeFaultKind::kCrash    ? What::kKilled
-                        : fault.kind == NodeFaultKind::kFreeze ? What::kFrozen
-                                                               : What::kStopping);
-      router.process->signal(fault.kind == NodeFaultKind::kCrash    ? SIGKILL
-                             : fault.kind == NodeFaultKind::kFreeze ? SIGSTOP
-                                                                    : SIGTERM);
+      const bool stops_process = fault.kind != NodeFaultKind::kFreeze;
+      record(router.name, fault.kind == NodeFaultKind::kCrash    ? EventKind::kKilled
+                          : fault.kind == NodeFaultKind::kFreeze ? EventKind::kFrozen
+                                                                 : EventKind::kStopping);
+      router.process->send_signal(fault.kind == NodeFaultKind::kCrash    ? SIGKILL
+                                  : fault.kind == NodeFaultKind::kFreeze ? SIGSTOP
+                                                                         : SIGTERM);
       if (!fault.back_after) continue;
-      at(scene_.now() + *fault.back_after, [this, &router, ends] { bring_back(router, ends); });
+      schedule_at(scene_.now() + *fault.back_after,
+                  [this, &router, stops_process] { restore(router, stops_process); });
     }
   }
 
-  void bring_back(Router& router, bool ended) {
-    if (!ended) {
-      if (router.process) router.process->signal(SIGCONT);
-      note(router.name, What::kThawed);
+  void restore(Router& router, bool has_ended) {
+    if (!has_ended) {
+      if (router.process) router.process->send_signal(SIGCONT);
+      record(router.name, EventKind::kThawed);
       return;
     }
-    look_at(router);
-    if (router.process) {  // it is still ending: later
-      at(scene_.now() + kLookEvery, [this, &router] { bring_back(router, true); });
+    update_processes(router);
+    if (router.process) {  // it has not ended yet; checks again later
+      schedule_at(scene_.now() + kPollInterval, [this, &router] { restore(router, true); });
       return;
     }
     ++restarts_;
     start(router);
   }
 
-  void drain(const std::vector<std::string>& nodes, const std::string& state, What what) {
-    for (auto& router : routers_) router.channel->tell(nodes_text(router, state, nodes, false));
+  void drain(const std::vector<std::string>& nodes, const std::string& state, EventKind kind) {
+    for (auto& router : routers_) router.channel->publish(endpoint_list_json(router, state, nodes, false));
     for (const auto& server : servers_) {
-      if (covers(nodes, server->name())) note(server->name(), what);
+      if (covers(nodes, server->name())) record(server->name(), kind);
     }
   }
 
   void stop_all() {
     for (auto& router : routers_) {
       if (!router.process) continue;
-      note(router.name, What::kStopping);
-      router.process->signal(SIGCONT);
-      router.process->signal(SIGTERM);
+      record(router.name, EventKind::kStopping);
+      router.process->send_signal(SIGCONT);
+      router.process->send_signal(SIGTERM);
     }
-    const Duration limit = scene_.now() + kEndsWithin;
-    const auto ended = [this] {
+    const Duration limit = scene_.now() + kExitTimeout;
+    const auto has_ended = [this] {
       return std::none_of(routers_.begin(), routers_.end(),
-                          [](const auto& one) { return one.process || one.leaving; });
+                          [](const auto& router) { return router.process || router.replaced_process; });
     };
-    wait_until([&] { return ended() || scene_.now() >= limit; }, Duration::max(), "");
+    wait_until([&] { return has_ended() || scene_.now() >= limit; }, Duration::max(), "");
     for (auto& router : routers_) {
       if (!router.process) continue;
-      // No `killed` is noted: a process that does not end on SIGTERM is a fault of its own.
-      router.process->signal(SIGKILL);
-      while (!router.process->ended()) loop_.io.run_one_for(milliseconds{5});
-      look_at(router);
+      // Not recorded as killed, since a process that does not end after SIGTERM breaks a rule.
+      router.process->send_signal(SIGKILL);
+      while (!router.process->exit_status()) loop_.io.run_one_for(milliseconds{5});
+      update_processes(router);
     }
   }
 
-  void wait_until(const std::function<bool()>& holds, Duration within, const char* fault) {
+  void wait_until(const std::function<bool()>& condition, Duration timeout, const char* error_message) {
     const Duration from = scene_.now();
-    while (!holds()) {
-      if (within != Duration::max() && scene_.now() - from > within) throw std::runtime_error(fault);
-      loop_.io.run_one_for(kLookEvery);
-      for (auto& router : routers_) look_at(router);
+    while (!condition()) {
+      if (timeout != Duration::max() && scene_.now() - from > timeout)
+        throw std::runtime_error(error_message);
+      loop_.io.run_one_for(kPollInterval);
+      for (auto& router : routers_) update_processes(router);
     }
   }
 
   const FleetOptions& options_;
   net::Loop loop_;
-  Instant started_;
+  Instant started_at_;
   Scene scene_;
   std::shared_ptr<spdlog::logger> log_;
   History history_;
-  Schedule moved_;  ///< with times of the run's clock
+  Schedule shifted_schedule_;  ///< the schedule with times of the run's clock
   RelayCounts counts_;
-  LatenessWatch watch_;
+  LatenessMonitor lateness_monitor_;
   std::vector<std::unique_ptr<SipServer>> servers_;
   std::deque<Router> routers_;
   std::size_t restarts_ = 0;
@@ -366,39 +384,40 @@
   return Fleet(options).run();
 }
 
-std::string summary_of(std::uint64_t seed, std::size_t nodes, const History& history, const Verdict& verdict,
-                       const std::string& more) {
+std::string summary_line(std::uint64_t seed, std::size_t nodes, const History& history,
+                         const Verdict& verdict, const std::string& further_members) {
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> to(buffer);
-  const auto count = [&](What what) {
+  rapidjson::Writer<rapidjson::StringBuffer> json(buffer);
+  const auto count = [&](EventKind kind) {
     return std::count_if(history.begin(), history.end(),
-                         [what](const Event& one) { return one.what == what; });
+                         [kind](const Event& event) { return event.kind == kind; });
   };
-  to.StartObject();
-  to.Key("seed");
-  to.Uint64(seed);
-  to.Key("nodes");
-  to.Uint64(nodes);
-  to.Key("verdict");
-  to.String(verdict.held() ? "held" : verdict.nothing_shown.empty() ? "broken" : "void");
-  for (const auto what : {What::kSetUp, What::kAnswer, What::kRefused, What::kFailed, What::kLost,
-                          What::kGaveUp, What::kInvite, What::kKilled, What::kFrozen, What::kDrained}) {
-    to.Key(name_of(what).data());
-    to.Int64(count(what));
+  json.StartObject();
+  json.Key("seed");
+  json.Uint64(seed);
+  json.Key("nodes");
+  json.Uint64(nodes);
+  json.Key("verdict");
+  json.String(verdict.has_passed() ? "held" : verdict.inconclusive_reason.empty() ? "broken" : "void");
+  for (const auto kind : {EventKind::kSetUp, EventKind::kAnswer, EventKind::kRefused, EventKind::kFailed,
+                          EventKind::kLost, EventKind::kGaveUp, EventKind::kInvite, EventKind::kKilled,
+                          EventKind::kFrozen, EventKind::kDrained}) {
+    json.Key(name_of(kind).data());
+    json.Int64(count(kind));
   }
   std::size_t excused = 0;
-  std::size_t broken = 0;
+  std::size_t violations = 0;
   for (const auto& rule : verdict.rules) {
     excused += rule.excused;
-    broken += rule.violations.size();
+    violations += rule.violations.size();
   }
-  to.Key("excused");
-  to.Uint64(excused);
-  to.Key("broken");
-  to.Uint64(broken);
-  to.EndObject();
+  json.Key("excused");
+  json.Uint64(excused);
+  json.Key("broken");
+  json.Uint64(violations);
+  json.EndObject();
   std::string text(buffer.GetString(), buffer.GetSize());
-  if (!more.empty()) text.insert(text.size() - 1, "," + more);
+  if (!further_members.empty()) text.insert(text.size() - 1, "," + further_members);
   return text;
 }
 
--- a/lab/fleet/runner.hpp
+++ b/lab/fleet/runner.hpp
@@ -1,4 +1,4 @@
-// One run of a fleet of real processes: routers, session servers, callers and the relay between them.
+// Runs a fleet of real processes: routers, session servers, callers and the relay between them.
 #pragma once
 
 #include <string>
@@ -9,31 +9,33 @@
 
 namespace amberknot::lab::fleet {
 
+/// The parameters of a run.
 struct FleetOptions {
-  std::string program;  ///< the router's file
-  std::string folder;   ///< for everything that the run writes
+  std::string program;  ///< path of the router's executable
+  std::string folder;   ///< receives all files that the run writes
   std::size_t routers = 5, servers = 3;
-  double calls_per_s = 20;  ///< at each router
-  Duration patience = std::chrono::milliseconds{2000};
+  double calls_per_s = 20;                                    ///< at each router
+  Duration caller_timeout = std::chrono::milliseconds{2000};  ///< how long a caller waits for an answer
   ServerTraits traits;
   Schedule schedule;
-  RuleTimes times;
+  RuleLimits limits;
 };
 
+/// The outcome of a run.
 struct FleetResult {
   History history;
   Verdict verdict;
-  RelayCounts relay;
-  Duration worst_late{};
+  RelayCounts relay_counts;
+  Duration max_lateness{};  ///< of the relay
   std::size_t restarts = 0;
 };
 
-/// Throws std::runtime_error where the rig itself cannot run: a process that is never ready, no port, no
-/// folder.
+/// Runs a fleet. Throws std::runtime_error if the run itself is not possible: a process does not become
+/// ready, or a port or folder cannot be used.
 FleetResult run_fleet(const FleetOptions& options);
 
-/// The one JSON line at the end of a run.
-std::string summary_of(std::uint64_t seed, std::size_t nodes, const History& history, const Verdict& verdict,
-                       const std::string& more);
+/// Returns the line of JSON with which a run ends. `more` holds further members as JSON, without braces.
+std::string summary_line(std::uint64_t seed, std::size_t nodes, const History& history,
+                         const Verdict& verdict, const std::string& more);
 
 }  // namespace amberknot::lab::fleet
--- a/lab/fleet/schedule.cpp
+++ b/lab/fleet/schedule.cpp
@@ -23,30 +23,31 @@
 using std::chrono::seconds;
 using valijson::adapters::RapidJsonAdapter;
 
-constexpr std::array<std::string_view, 9> kLinkNames = {
+constexpr std::array<std::string_view, 9> kLinkFaultNames = {
     "drop", "delay", "duplicate", "reorder", "reset", "finish", "half-open", "stall", "partition"};
-constexpr std::array<std::string_view, 5> kNodeNames = {"crash", "freeze", "stop", "replace", "drain"};
+constexpr std::array<std::string_view, 5> kNodeFaultNames = {"crash", "freeze", "stop", "replace", "drain"};
 
 template <typename Kind, std::size_t N>
-Kind kind_of(const std::array<std::string_view, N>& names, std::string_view name) {
-  // The schema has checked that it is one of them.
+Kind kind_from_name(const std::array<std::string_view, N>& names, std::string_view name) {
+  // The schema guarantees that the name is in the list.
   return static_cast<Kind>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-void check(const rapidjson::Document& document) {
-  rapidjson::Document schema_text;
-  schema_text.Parse(kScheduleSchema);
-  if (schema_text.HasParseError()) throw std::logic_error("fleet-schedule.schema.json cannot be read");
+void validate(const rapidjson::Document& document) {
+  rapidjson::Document schema_document;
+  schema_document.Parse(kScheduleSchema);
+  if (schema_document.HasParseError())
+    throw std::logic_error("schema fleet-schedule.schema.json is not valid JSON");
   valijson::Schema schema;
   valijson::SchemaParser(valijson::SchemaParser::kDraft7)
-      .populateSchema(RapidJsonAdapter(schema_text), schema);
+      .populateSchema(RapidJsonAdapter(schema_document), schema);
   valijson::Validator validator(valijson::Validator::kStrongTypes);
   valijson::ValidationResults results;
   if (validator.validate(schema, RapidJsonAdapter(document), &results)) return;
   valijson::ValidationResults::Error error;
   std::string fault;
   std::size_t depth = 0;
-  while (results.popError(error)) {  // the innermost names the field
+  while (results.popError(error)) {  // the innermost error names the field
     if (error.context.size() < depth) continue;
     depth = error.context.size();
     fault.clear();
@@ -56,185 +57,188 @@
   throw ScheduleError("schedule: " + fault);
 }
 
-std::vector<std::string> names_in(const rapidjson::Value& list) {
+std::vector<std::string> string_list(const rapidjson::Value& list) {
   std::vector<std::string> names;
   for (const auto& item : list.GetArray()) names.emplace_back(item.GetString());
   return names;
 }
 
-Duration ms(const rapidjson::Value& object, const char* field) {
+Duration duration_member(const rapidjson::Value& object, const char* field) {
   const auto found = object.FindMember(field);
   return found == object.MemberEnd() ? Duration{} : Duration{milliseconds{found->value.GetInt64()}};
 }
 
-LinkFault read_link(const rapidjson::Value& item, std::size_t number) {
+LinkFault parse_link_fault(const rapidjson::Value& item, std::size_t number) {
   LinkFault fault;
-  fault.kind = kind_of<LinkFaultKind>(kLinkNames, item["fault"].GetString());
-  fault.from = names_in(item["from"]);
-  fault.to = names_in(item["to"]);
+  fault.kind = kind_from_name<LinkFaultKind>(kLinkFaultNames, item["fault"].GetString());
+  fault.from = string_list(item["from"]);
+  fault.to = string_list(item["to"]);
   if (item.HasMember("both_ways")) fault.both_ways = item["both_ways"].GetBool();
-  fault.at = ms(item, "at_ms");
-  fault.until = ms(item, "until_ms");
+  fault.at = duration_member(item, "at_ms");
+  fault.until = duration_member(item, "until_ms");
   if (fault.until <= fault.at) {
-    throw ScheduleError("schedule: links[" + std::to_string(number) + "].until_ms is not after at_ms");
+    throw ScheduleError("schedule: links[" + std::to_string(number) +
+                        "].until_ms must be greater than at_ms");
   }
   if (item.HasMember("share")) fault.share = item["share"].GetDouble();
-  fault.fixed = ms(item, "fixed_ms");
-  fault.jitter = ms(item, "jitter_ms");
+  fault.fixed = duration_member(item, "fixed_ms");
+  fault.jitter = duration_member(item, "jitter_ms");
   return fault;
 }
 
-NodeFault read_node(const rapidjson::Value& item) {
+NodeFault parse_node_fault(const rapidjson::Value& item) {
   NodeFault fault;
-  fault.kind = kind_of<NodeFaultKind>(kNodeNames, item["do"].GetString());
-  fault.nodes = names_in(item["nodes"]);
-  fault.at = ms(item, "at_ms");
-  if (item.HasMember("back_after_ms")) fault.back_after = ms(item, "back_after_ms");
+  fault.kind = kind_from_name<NodeFaultKind>(kNodeFaultNames, item["do"].GetString());
+  fault.nodes = string_list(item["nodes"]);
+  fault.at = duration_member(item, "at_ms");
+  if (item.HasMember("back_after_ms")) fault.back_after = duration_member(item, "back_after_ms");
   return fault;
 }
 
-class Writer {
+class JsonWriter {
  public:
-  Writer() : to_(buffer_) {}
-  void names(const char* key, const std::vector<std::string>& list) {
-    to_.Key(key);
-    to_.StartArray();
-    for (const auto& one : list) to_.String(one.c_str());
-    to_.EndArray();
+  JsonWriter() : json_(buffer_) {}
+  void write_names(const char* key, const std::vector<std::string>& list) {
+    json_.Key(key);
+    json_.StartArray();
+    for (const auto& name : list) json_.String(name.c_str());
+    json_.EndArray();
   }
-  void ms(const char* key, Duration value) {
-    to_.Key(key);
-    to_.Int64(std::chrono::duration_cast<milliseconds>(value).count());
+  void write_ms(const char* key, Duration value) {
+    json_.Key(key);
+    json_.Int64(std::chrono::duration_cast<milliseconds>(value).count());
   }
   rapidjson::StringBuffer buffer_;
-  rapidjson::Writer<rapidjson::StringBuffer> to_;
+  rapidjson::Writer<rapidjson::StringBuffer> json_;
 };
 
 }  // namespace
 
 std::string_view name_of(LinkFaultKind kind) {
-  return kLinkNames[static_cast<std::size_t>(kind)];
+  return kLinkFaultNames[static_cast<std::size_t>(kind)];
 }
 std::string_view name_of(NodeFaultKind kind) {
-  return kNodeNames[static_cast<std::size_t>(kind)];
+  return kNodeFaultNames[static_cast<std::size_t>(kind)];
 }
 
 bool covers(const std::vector<std::string>& patterns, std::string_view node) {
-  return std::any_of(patterns.begin(), patterns.end(), [node](std::string_view one) {
-    return one.ends_with('*') ? node.starts_with(one.substr(0, one.size() - 1)) : node == one;
+  return std::any_of(patterns.begin(), patterns.end(), [node](std::string_view pattern) {
+    return pattern.ends_with('*') ? node.starts_with(pattern.substr(0, pattern.size() - 1)) : node == pattern;
   });
 }
 
 bool covers(const LinkFault& fault, std::string_view from, std::string_view to) {
-  const auto goes = [&fault](std::string_view a, std::string_view b) {
+  const auto matches = [&fault](std::string_view a, std::string_view b) {
     return covers(fault.from, a) && covers(fault.to, b);
   };
-  return goes(from, to) || (fault.both_ways && goes(to, from));
+  return matches(from, to) || (fault.both_ways && matches(to, from));
 }
 
-Schedule read_schedule(std::string_view json) {
+Schedule parse_schedule(std::string_view json) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseFullPrecisionFlag>(json.data(), json.size());
   if (document.HasParseError()) {
-    throw ScheduleError("schedule: at byte " + std::to_string(document.GetErrorOffset()) + ": " +
+    throw ScheduleError("schedule: invalid JSON at byte " + std::to_string(document.GetErrorOffset()) + ": " +
                         rapidjson::GetParseError_En(document.GetParseError()));
   }
-  check(document);
+  validate(document);
   Schedule schedule;
   schedule.seed = document["seed"].GetUint64();
-  schedule.length = ms(document, "length_ms");
+  schedule.length = duration_member(document, "length_ms");
   if (document.HasMember("links")) {
     for (const auto& item : document["links"].GetArray()) {
-      schedule.links.push_back(read_link(item, schedule.links.size()));
+      schedule.links.push_back(parse_link_fault(item, schedule.links.size()));
     }
   }
   if (document.HasMember("nodes")) {
-    for (const auto& item : document["nodes"].GetArray()) schedule.nodes.push_back(read_node(item));
+    for (const auto& item : document["nodes"].GetArray()) schedule.nodes.push_back(parse_node_fault(item));
   }
   return schedule;
 }
 
-std::string text_of(const Schedule& schedule) {
-  Writer all;
-  auto& to = all.to_;
-  to.StartObject();
-  to.Key("version");
-  to.Int(1);
-  to.Key("seed");
-  to.Uint64(schedule.seed);
-  all.ms("length_ms", schedule.length);
-  to.Key("links");
-  to.StartArray();
+std::string to_json(const Schedule& schedule) {
+  JsonWriter writer;
+  auto& json = writer.json_;
+  json.StartObject();
+  json.Key("version");
+  json.Int(1);
+  json.Key("seed");
+  json.Uint64(schedule.seed);
+  writer.write_ms("length_ms", schedule.length);
+  json.Key("links");
+  json.StartArray();
   for (const auto& fault : schedule.links) {
-    to.StartObject();
-    to.Key("fault");
-    to.String(name_of(fault.kind).data());
-    all.names("from", fault.from);
-    all.names("to", fault.to);
-    to.Key("both_ways");
-    to.Bool(fault.both_ways);
-    all.ms("at_ms", fault.at);
-    all.ms("until_ms", fault.until);
-    to.Key("share");
-    to.Double(fault.share);
-    all.ms("fixed_ms", fault.fixed);
-    all.ms("jitter_ms", fault.jitter);
-    to.EndObject();
+    json.StartObject();
+    json.Key("fault");
+    json.String(name_of(fault.kind).data());
+    writer.write_names("from", fault.from);
+    writer.write_names("to", fault.to);
+    json.Key("both_ways");
+    json.Bool(fault.both_ways);
+    writer.write_ms("at_ms", fault.at);
+    writer.write_ms("until_ms", fault.until);
+    json.Key("share");
+    json.Double(fault.share);
+    writer.write_ms("fixed_ms", fault.fixed);
+    writer.write_ms("jitter_ms", fault.jitter);
+    json.EndObject();
   }
-  to.EndArray();
-  to.Key("nodes");
-  to.StartArray();
+  json.EndArray();
+  json.Key("nodes");
+  json.StartArray();
   for (const auto& fault : schedule.nodes) {
-    to.StartObject();
-    to.Key("do");
-    to.String(name_of(fault.kind).data());
-    all.names("nodes", fault.nodes);
-    all.ms("at_ms", fault.at);
-    if (fault.back_after) all.ms("back_after_ms", *fault.back_after);
-    to.EndObject();
+    json.StartObject();
+    json.Key("do");
+    json.String(name_of(fault.kind).data());
+    writer.write_names("nodes", fault.nodes);
+    writer.write_ms("at_ms", fault.at);
+    if (fault.back_after) writer.write_ms("back_after_ms", *fault.back_after);
+    json.EndObject();
   }
-  to.EndArray();
-  to.EndObject();
-  return {all.buffer_.GetString(), all.buffer_.GetSize()};
+  json.EndArray();
+  json.EndObject();
+  return {writer.buffer_.GetString(), writer.buffer_.GetSize()};
 }
 
-Schedule draw_schedule(std::uint64_t seed, std::size_t routers, std::size_t servers, Duration length) {
+Schedule generate_schedule(std::uint64_t seed, std::size_t routers, std::size_t servers, Duration length) {
   Random random(seed, "schedule");
-  const auto in_ms = std::chrono::duration_cast<milliseconds>(length).count();
-  // Faults begin in the second eighth at the earliest, and are over by three quarters.
-  const auto moment = [&] {
-    return milliseconds{
-        in_ms / 8 + static_cast<std::int64_t>(random.below(static_cast<std::uint64_t>(in_ms) * 3 / 8 + 1))};
+  const auto length_ms = std::chrono::duration_cast<milliseconds>(length).count();
+  // Faults begin between one eighth and one half of the run, and end by three quarters of it.
+  const auto start_time = [&] {
+    return milliseconds{length_ms / 8 + static_cast<std::int64_t>(
+                                            random.below(static_cast<std::uint64_t>(length_ms) * 3 / 8 + 1))};
   };
-  const auto span = [&] {
-    return milliseconds{200 + static_cast<std::int64_t>(random.below(static_cast<std::uint64_t>(in_ms) / 4))};
+  const auto duration = [&] {
+    return milliseconds{200 +
+                        static_cast<std::int64_t>(random.below(static_cast<std::uint64_t>(length_ms) / 4))};
   };
-  // In a large fleet one router's troubles would not show: all whose names begin alike share them.
-  const auto router = [&] {
+  // In a large fleet the faults of one router would have no visible effect, so they apply to all routers
+  // whose names have a common prefix.
+  const auto random_router = [&] {
     return routers > 20 ? "n" + std::to_string(1 + random.below(9)) + "*"
                         : "n" + std::to_string(random.below(routers));
   };
-  const auto server = [&] { return "s" + std::to_string(random.below(servers)); };
+  const auto random_server = [&] { return "s" + std::to_string(random.below(servers)); };
   Schedule schedule{seed, length, {}, {}};
-  for (std::size_t kind = 0; kind < kLinkNames.size(); ++kind) {
+  for (std::size_t kind = 0; kind < kLinkFaultNames.size(); ++kind) {
     LinkFault fault;
     fault.kind = static_cast<LinkFaultKind>(kind);
-    fault.from = {router()};
-    fault.to = {server()};
-    fault.at = moment();
-    fault.until = std::min<Duration>(fault.at + span(), length * 3 / 4);
+    fault.from = {random_router()};
+    fault.to = {random_server()};
+    fault.at = start_time();
+    fault.until = std::min<Duration>(fault.at + duration(), length * 3 / 4);
     fault.both_ways = random.chance(0.5);
-    fault.share = 0.1 + 0.3 * random.share();
+    fault.share = 0.1 + 0.3 * random.uniform();
     fault.fixed = milliseconds{5 + static_cast<std::int64_t>(random.below(40))};
     fault.jitter = milliseconds{static_cast<std::int64_t>(random.below(20))};
     schedule.links.push_back(std::move(fault));
   }
-  // Siblings lose datagrams all along.
+  // Datagrams between routers are lost during the whole period of faults.
   schedule.links.push_back(
       {LinkFaultKind::kDrop, {"n*"}, {"n*"}, false, length / 8, length * 3 / 4, 0.3, {}, {}});
-  schedule.nodes.push_back({NodeFaultKind::kCrash, {router()}, moment(), milliseconds{300}});
-  schedule.nodes.push_back({NodeFaultKind::kFreeze, {router()}, moment(), milliseconds{400}});
-  schedule.nodes.push_back({NodeFaultKind::kDrain, {server()}, moment(), milliseconds{1500}});
+  schedule.nodes.push_back({NodeFaultKind::kCrash, {random_router()}, start_time(), milliseconds{300}});
+  schedule.nodes.push_back({NodeFaultKind::kFreeze, {random_router()}, start_time(), milliseconds{400}});
+  schedule.nodes.push_back({NodeFaultKind::kDrain, {random_server()}, start_time(), milliseconds{1500}});
   return schedule;
 }
 
--- a/lab/fleet/schedule.hpp
+++ b/lab/fleet/schedule.hpp
@@ -1,5 +1,5 @@
-// What goes wrong in a run, and when: read from JSON, checked by schemas/fleet-schedule.schema.json, or drawn
-// from a seed. Times run from the start of the run.
+// The schedule of a run: which faults happen, and when. It is read from JSON and validated against
+// schemas/fleet-schedule.schema.json, or generated from a seed. Times count from the start of the run.
 #pragma once
 
 #include <cstdint>
@@ -13,49 +13,57 @@
 
 namespace amberknot::lab::fleet {
 
+/// Reports a schedule that is not valid.
 class ScheduleError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+/// The kind of a link fault.
 enum class LinkFaultKind : std::uint8_t {
-  kDrop,       ///< datagrams are lost by `share`; a stream's bytes come a retransmission later
-  kDelay,      ///< `fixed` plus up to `jitter`
-  kDuplicate,  ///< datagrams come twice by `share`
-  kReorder,    ///< datagrams by `share` come up to `fixed` later than their turn
-  kReset,      ///< connections end by RST; new ones meet the same until the fault ends
-  kFinish,     ///< connections end by FIN; new ones meet the same until the fault ends
-  kHalfOpen,   ///< what is sent vanishes, and connections stay open
-  kStall,      ///< nothing is read: the sender is pushed back
-  kPartition,  ///< no datagram passes; a stream's bytes wait until the fault ends
+  kDrop,       ///< loses a share of the datagrams; delays a stream's bytes by a retransmission
+  kDelay,      ///< delays by `fixed` plus up to `jitter`
+  kDuplicate,  ///< delivers a share of the datagrams twice
+  kReorder,    ///< delays a share of the datagrams by up to `fixed`
+  kReset,      ///< closes connections with RST, new ones as well until the fault ends
+  kFinish,     ///< closes connections with FIN, new ones as well until the fault ends
+  kHalfOpen,   ///< discards what is sent and keeps connections open
+  kStall,      ///< reads nothing, so that the sender is blocked
+  kPartition,  ///< passes no datagram; holds a stream's bytes until the fault ends
 };
+/// Returns the name of the kind in a schedule file.
 std::string_view name_of(LinkFaultKind kind);
 
+/// A fault of the links between some nodes.
 struct LinkFault {
   LinkFaultKind kind = LinkFaultKind::kDrop;
-  std::vector<std::string> from, to;  ///< nodes by name; a name that ends in `*` covers all that begin so
+  std::vector<std::string> from, to;  ///< names of nodes; a name that ends in `*` is a prefix
   bool both_ways = false;
   Duration at{}, until{};
-  double share = 1;  ///< of messages, or of a link's connections for what happens to connections
+  double share = 1;  ///< of the messages, or of a link's connections for faults of connections
   Duration fixed{}, jitter{};
 };
 
+/// The kind of a node fault.
 enum class NodeFaultKind : std::uint8_t {
-  kCrash,    ///< SIGKILL
-  kFreeze,   ///< SIGSTOP, and SIGCONT after `back_after`
-  kStop,     ///< SIGTERM
-  kReplace,  ///< a second process starts beside it; once that serves, the first gets SIGTERM
-  kDrain,    ///< of a server: the list says that it drains; `back_after`: it is ready again
+  kCrash,    ///< sends SIGKILL
+  kFreeze,   ///< sends SIGSTOP, and SIGCONT after `back_after`
+  kStop,     ///< sends SIGTERM
+  kReplace,  ///< starts a second process, and sends SIGTERM to the first once the second serves
+  kDrain,    ///< reports a server as draining in the endpoint list, and as ready after `back_after`
 };
+/// Returns the name of the kind in a schedule file.
 std::string_view name_of(NodeFaultKind kind);
 
+/// A fault of some nodes.
 struct NodeFault {
   NodeFaultKind kind = NodeFaultKind::kCrash;
   std::vector<std::string> nodes;
   Duration at{};
-  std::optional<Duration> back_after;  ///< none: it stays so
+  std::optional<Duration> back_after;  ///< time until the node is restored; nullopt if it is not
 };
 
+/// The faults of a run.
 struct Schedule {
   std::uint64_t seed = 1;
   Duration length = std::chrono::seconds{10};
@@ -63,17 +71,18 @@
   std::vector<NodeFault> nodes;
 };
 
-/// Whether one of `patterns` covers `node`.
+/// Returns true if one of `patterns` matches `node`.
 bool covers(const std::vector<std::string>& patterns, std::string_view node);
-/// Whether the fault is one of what goes from the one node to the other.
+/// Returns true if the fault affects what is sent from `from` to `to`.
 bool covers(const LinkFault& fault, std::string_view from, std::string_view to);
 
-/// Throws ScheduleError with the field at fault.
-Schedule read_schedule(std::string_view json);
-std::string text_of(const Schedule& schedule);
+/// Parses a schedule. Throws ScheduleError, which names the invalid field.
+Schedule parse_schedule(std::string_view json);
+/// Returns the schedule as JSON that parse_schedule() reads.
+std::string to_json(const Schedule& schedule);
 
-/// Faults of every kind, each with an end before the last quarter of the run, so that what must come back has
-/// the time to. The same seed gives the same schedule on every machine.
-Schedule draw_schedule(std::uint64_t seed, std::size_t routers, std::size_t servers, Duration length);
+/// Generates a schedule with faults of every kind. Each fault ends before the last quarter of the run, so
+/// that the fleet has time to recover. The same seed gives the same schedule on every machine.
+Schedule generate_schedule(std::uint64_t seed, std::size_t routers, std::size_t servers, Duration length);
 
 }  // namespace amberknot::lab::fleet
--- a/lab/fleet/simulation.cpp
+++ b/lab/fleet/simulation.cpp
@@ -14,28 +14,29 @@
 namespace {
 
 using std::chrono::milliseconds;
-using V = StreamVerdict::Kind;
+using ActionKind = StreamAction::Kind;
 
-// A process is up so long after its start, as on a machine at rest.
-constexpr Duration kStartTakes = milliseconds{20};
-constexpr Duration kToldAgain = milliseconds{200};
-// The module takes an instant of zero for none at all.
+// Time from the start of a router process until it is ready, as on an idle machine.
+constexpr Duration kStartupTime = milliseconds{20};
+constexpr Duration kReleaseResendInterval = milliseconds{200};
+// The simulation's clock does not start at zero, since the module takes an instant of zero as not set.
 constexpr Instant kOrigin{std::chrono::seconds{1000}};
 
 struct Node;
 
-/// An attempt as it travels: whose it is, and of which life of its router.
-struct Travelling {
+/// An attempt in transit between a router and a server. `start_number` identifies the process of the router
+/// that made it.
+struct AttemptInTransit {
   std::size_t router = 0;
-  std::uint64_t life = 0;
+  std::uint64_t start_number = 0;
   core::AttemptRef ref;
   std::string id;
 };
 
-/// A router's way to the servers and to its callers.
-class Port : public core::UpstreamPool, public core::ClientPort {
+/// The router's ports to the servers and to its callers.
+class RouterPorts : public core::UpstreamPool, public core::ClientPort {
  public:
-  explicit Port(Node& node) : node_(node) {}
+  explicit RouterPorts(Node& node) : node_(node) {}
   void set_up(const core::SetUp& set_up) override;
   bool cancel(const core::AttemptRef& attempt) override;
   void release(const core::AttemptRef& attempt, core::Cause cause) override;
@@ -54,14 +55,14 @@
 
 class Simulation;
 
-/// One life of a router's process.
-struct Life {
-  Life(Node& node, const Settings& settings, Instant now, core::CallTable::Clock clock)
-      : port(node),
+/// The state of one process of a router, from its start to its end.
+struct RouterInstance {
+  RouterInstance(Node& node, const Settings& settings, Instant now, core::CallTable::Clock clock)
+      : ports(node),
         dispatcher(settings, now),
         wheel(now),
         table(dispatcher, servers, wheel, counters, std::move(clock)) {}
-  Port port;
+  RouterPorts ports;
   core::Dispatcher dispatcher;
   core::EndpointRegistry servers;
   core::Counters counters;
@@ -70,50 +71,54 @@
   std::unordered_map<CallId, std::string> ids;
 };
 
+/// A router and its callers.
 struct Node {
-  Node(Simulation& of, std::size_t number, std::uint64_t seed)
+  Node(Simulation& of, std::size_t index, std::uint64_t seed)
       : simulation(of),
-        number(number),
-        name("n" + std::to_string(number)),
-        caller("c" + std::to_string(number)),
+        index(index),
+        name("n" + std::to_string(index)),
+        caller("c" + std::to_string(index)),
         random(seed, caller) {}
   Simulation& simulation;
-  std::size_t number;
+  std::size_t index;
   std::string name, caller;
   Random random;
-  std::unique_ptr<Life> life;
-  std::uint64_t lives = 0;
-  bool frozen = false;
-  std::vector<std::function<void()>> missed;  ///< while frozen
-  std::unordered_map<std::string, CallId> waiting;
+  std::unique_ptr<RouterInstance> instance;
+  std::uint64_t start_count = 0;
+  bool is_frozen = false;
+  std::vector<std::function<void()>> deferred_actions;  ///< to run once the process is resumed
+  std::unordered_map<std::string, CallId> pending;
 };
 
+/// A session server.
 struct Server {
   struct Call {
-    Travelling from;
-    bool stands = false;
+    AttemptInTransit attempt;
+    bool is_established = false;
     std::uint64_t number = 0;
   };
   std::string name;
   Random random;
   EndpointState state = EndpointState::kReady;
   std::unordered_map<std::string, Call> calls;
-  std::size_t working = 0;
-  std::uint64_t answers = 0, numbers = 0;
+  std::size_t set_ups_in_progress = 0;
+  std::uint64_t answer_count = 0, call_count = 0;
 };
 
+/// One run: an event loop over simulated time.
 class Simulation {
  public:
   explicit Simulation(const SimulationOptions& options) : options_(options) {
-    const auto config = app::read_config(
-        config_text(
-            {"n0", "127.0.0.1:1", "127.0.0.1:1", options.schedule.seed, ConfigFacts().known, options.routers},
-            options.times),
-        "", "");
+    const auto config =
+        app::read_config(config_text({"n0", "127.0.0.1:1", "127.0.0.1:1", options.schedule.seed,
+                                      ConfigValues().known, options.routers},
+                                     options.limits),
+                         "", "");
     settings_ = config.settings;
     for (const auto& fault : options.schedule.nodes) {
       if (fault.kind == NodeFaultKind::kStop || fault.kind == NodeFaultKind::kReplace) {
-        throw ScheduleError("schedule: nodes: " + std::string(name_of(fault.kind)) + " takes real processes");
+        throw ScheduleError("schedule: nodes: " + std::string(name_of(fault.kind)) +
+                            " is not supported by the simulation; it needs real processes");
       }
     }
   }
@@ -125,84 +130,88 @@
     }
     for (std::size_t i = 0; i < options_.routers; ++i) {
       auto& node = nodes_.emplace_back(*this, i, options_.schedule.seed);
-      note(node.name, What::kStarted);
-      begin(node);
-      next_call(node);
+      record(node.name, EventKind::kStarted);
+      start_instance(node);
+      schedule_next_call(node);
     }
     for (const auto& fault : options_.schedule.links) {
-      at(fault.at, [this, &fault] { link_fault(fault, What::kFaultOn); });
-      at(fault.until, [this, &fault] { link_fault(fault, What::kFaultOff); });
+      schedule_at(fault.at, [this, &fault] { apply_link_fault(fault, EventKind::kFaultOn); });
+      schedule_at(fault.until, [this, &fault] { apply_link_fault(fault, EventKind::kFaultOff); });
     }
     for (const auto& fault : options_.schedule.nodes) {
-      at(fault.at, [this, &fault] { node_fault(fault); });
+      schedule_at(fault.at, [this, &fault] { apply_node_fault(fault); });
     }
     tick();
     const Duration end = options_.schedule.length;
     SimulationResult result;
-    while (!steps_.empty() && steps_.top().at <= end) {
+    while (!steps_.empty() && steps_.top().time <= end) {
       // The function is moved out before it runs, since it may add steps.
       auto step = std::move(const_cast<Step&>(steps_.top()));
       steps_.pop();
-      now_ = step.at;
+      now_ = step.time;
       ++result.steps;
-      step.what();
+      step.action();
     }
     result.history = std::move(history_);
-    result.verdict = check(result.history, options_.times);
+    result.verdict = check(result.history, options_.limits);
     return result;
   }
 
-  // What routers do.
+  // Actions of the routers.
   void send_invite(Node& node, const core::SetUp& set_up) {
     const auto server = static_cast<std::size_t>(set_up.attempt.server);
-    const Travelling one{node.number, node.lives, set_up.attempt, std::string(set_up.id)};
-    const bool up = to_server(one, server, [this, one, server] { invited(one, server); });
-    // Nothing may be reported from inside this call.
-    if (!up)
-      at(now_, [this, one] {
-        in_router(one, [one](Life& life) { life.table.on_attempt_ended(one.ref, reset_end()); });
+    const AttemptInTransit attempt{node.index, node.start_count, set_up.attempt, std::string(set_up.id)};
+    const bool is_sent =
+        send_to_server(attempt, server, [this, attempt, server] { on_invite(attempt, server); });
+    // The call table does not allow a report during set_up(), so the failure is reported afterwards.
+    if (!is_sent)
+      schedule_at(now_, [this, attempt] {
+        run_in_router(attempt, [attempt](RouterInstance& instance) {
+          instance.table.on_attempt_ended(attempt.ref, reset_end());
+        });
       });
   }
   void send_end(Node& node, const core::AttemptRef& ref, bool cancelled) {
-    const auto found = node.life->ids.find(ref.call);
-    if (found == node.life->ids.end()) return;
+    const auto found = node.instance->ids.find(ref.call);
+    if (found == node.instance->ids.end()) return;
     const auto server = static_cast<std::size_t>(ref.server);
-    const Travelling one{node.number, node.lives, ref, found->second};
-    to_server(one, server, [this, one, server, cancelled] { ended(one, server, cancelled); });
+    const AttemptInTransit attempt{node.index, node.start_count, ref, found->second};
+    send_to_server(attempt, server,
+                   [this, attempt, server, cancelled] { on_end(attempt, server, cancelled); });
   }
   void send_probe(Node& node, ServerId id) {
     const auto server = static_cast<std::size_t>(id);
-    const Travelling one{node.number, node.lives, {}, ""};
+    const AttemptInTransit attempt{node.index, node.start_count, {}, ""};
     const Duration from = now_;
-    to_server(one, server, [this, one, server, id, from] {
-      to_router(one, server, [this, id, from](Life& life) {
-        life.table.on_health_check_result(id, Outcome::kOk, now_ - from, {});
+    send_to_server(attempt, server, [this, attempt, server, id, from] {
+      send_to_router(attempt, server, [this, id, from](RouterInstance& instance) {
+        instance.table.on_health_check_result(id, Outcome::kOk, now_ - from, {});
       });
     });
   }
-  void told(Node& node, CallId call, What what, std::int64_t number, std::string text = {}) {
-    const auto found = node.life->ids.find(call);
-    if (found == node.life->ids.end()) return;
-    note({now_, node.caller, what, found->second, node.name, number, std::move(text)});
-    node.waiting.erase(found->second);
-    if (what != What::kAnswer)
-      at(now_, [this, &node, call, life = node.lives] {
-        if (node.life && node.lives == life) node.life->ids.erase(call);
+  void report_to_caller(Node& node, CallId call, EventKind kind, std::int64_t number, std::string text = {}) {
+    const auto found = node.instance->ids.find(call);
+    if (found == node.instance->ids.end()) return;
+    record({now_, node.caller, kind, found->second, node.name, number, std::move(text)});
+    node.pending.erase(found->second);
+    if (kind != EventKind::kAnswer)
+      schedule_at(now_, [this, &node, call, start_number = node.start_count] {
+        if (node.instance && node.start_count == start_number) node.instance->ids.erase(call);
       });
   }
 
  private:
   struct Step {
-    Duration at;
-    std::uint64_t number;  ///< those of one moment keep their order
-    std::function<void()> what;
+    Duration time;
+    std::uint64_t number;  ///< keeps the order of steps of the same time
+    std::function<void()> action;
     bool operator<(const Step& other) const {
-      return std::tie(other.at, other.number) < std::tie(at, number);
+      return std::tie(other.time, other.number) < std::tie(time, number);
     }
   };
   struct Direction {
     LinkFaults faults;
-    Duration last{};  ///< a stream keeps its order
+    Duration last_arrival{};  ///< arrival of the latest message; a stream keeps its order
   };
 
   static core::AttemptEnd reset_end() {
@@ -211,170 +220,181 @@
     return end;
   }
   [[nodiscard]] Instant instant() const { return kOrigin + now_; }
-  void at(Duration moment, std::function<void()> what) { steps_.push({moment, ++numbers_, std::move(what)}); }
-  void after(Duration wait, std::function<void()> what) { at(now_ + wait, std::move(what)); }
-  void note(Event event) { history_.push_back(std::move(event)); }
-  void note(const std::string& who, What what, std::int64_t number = 0) {
-    note({now_, who, what, "", "", number, ""});
+  void schedule_at(Duration time, std::function<void()> action) {
+    steps_.push({time, ++step_count_, std::move(action)});
+  }
+  void schedule_after(Duration wait, std::function<void()> action) {
+    schedule_at(now_ + wait, std::move(action));
   }
-  Duration drawn(Server& server, Duration mean) {
+  void record(Event event) { history_.push_back(std::move(event)); }
+  void record(const std::string& who, EventKind kind, std::int64_t number = 0) {
+    record({now_, who, kind, "", "", number, ""});
+  }
+  Duration random_duration(Server& server, Duration mean) {
     return Duration{
-        static_cast<std::int64_t>(static_cast<double>(mean.count()) * (0.5 + server.random.share()))};
+        static_cast<std::int64_t>(static_cast<double>(mean.count()) * (0.5 + server.random.uniform()))};
   }
 
   // ---- the network ---------------------------------------------------------------------------------------
-  Direction& direction(std::size_t router, std::size_t server, bool forth) {
-    const auto key = (router * options_.servers + server) * 2 + (forth ? 0 : 1);
+  Direction& direction(std::size_t router, std::size_t server, bool forward) {
+    const auto key = (router * options_.servers + server) * 2 + (forward ? 0 : 1);
     const auto found = directions_.find(key);
     if (found != directions_.end()) return found->second;
-    const auto& from = forth ? nodes_[router].name : servers_[server].name;
-    const auto& to = forth ? servers_[server].name : nodes_[router].name;
+    const auto& from = forward ? nodes_[router].name : servers_[server].name;
+    const auto& to = forward ? servers_[server].name : nodes_[router].name;
     return directions_.emplace(key, Direction{LinkFaults(options_.schedule, from, to)}).first->second;
   }
 
-  /// False: the connection is ended as it is used.
-  bool travel(Direction& by, std::function<void()> arrive) {
-    const auto verdict = by.faults.stream(now_);
-    Duration due = now_ + options_.one_way;
-    switch (verdict.kind) {
-      case V::kReset:
-      case V::kFinish:
+  /// Delivers a message after the delay of the link. Returns false if a fault closes the connection.
+  bool transmit(Direction& path, std::function<void()> on_arrival) {
+    const auto action = path.faults.stream_action(now_);
+    Duration due = now_ + options_.one_way_delay;
+    switch (action.kind) {
+      case ActionKind::kReset:
+      case ActionKind::kFinish:
         return false;
-      case V::kVanish:
+      case ActionKind::kDiscard:
         return true;
-      case V::kStop:
-      case V::kHold:
-        due = verdict.until + options_.one_way;
+      case ActionKind::kPauseReading:
+      case ActionKind::kHold:
+        due = action.until + options_.one_way_delay;
         break;
-      case V::kPass:
-        due += verdict.wait;
+      case ActionKind::kPass:
+        due += action.delay;
         break;
     }
-    by.last = std::max(by.last, due);
-    at(by.last, std::move(arrive));
+    path.last_arrival = std::max(path.last_arrival, due);
+    schedule_at(path.last_arrival, std::move(on_arrival));
     return true;
   }
-  bool to_server(const Travelling& one, std::size_t server, std::function<void()> arrive) {
-    return travel(direction(one.router, server, true), std::move(arrive));
+  bool send_to_server(const AttemptInTransit& attempt, std::size_t server, std::function<void()> on_arrival) {
+    return transmit(direction(attempt.router, server, true), std::move(on_arrival));
   }
-  void to_router(const Travelling& one, std::size_t server, std::function<void(Life&)> arrive) {
-    travel(direction(one.router, server, false),
-           [this, one, arrive = std::move(arrive)] { in_router(one, arrive); });
+  void send_to_router(const AttemptInTransit& attempt, std::size_t server,
+                      std::function<void(RouterInstance&)> on_arrival) {
+    transmit(direction(attempt.router, server, false),
+             [this, attempt, on_arrival = std::move(on_arrival)] { run_in_router(attempt, on_arrival); });
   }
-  /// In that life of the router; once it is thawed where it is frozen.
-  void in_router(const Travelling& one, const std::function<void(Life&)>& what) {
-    auto& node = nodes_[one.router];
-    if (!node.life || node.lives != one.life) return;
-    if (node.frozen) {
-      node.missed.push_back([this, one, what] { in_router(one, what); });
+  /// Runs `action` in the process that made the attempt, unless it has ended. If the process is frozen, runs
+  /// it once the process is resumed.
+  void run_in_router(const AttemptInTransit& attempt, const std::function<void(RouterInstance&)>& action) {
+    auto& node = nodes_[attempt.router];
+    if (!node.instance || node.start_count != attempt.start_number) return;
+    if (node.is_frozen) {
+      node.deferred_actions.push_back([this, attempt, action] { run_in_router(attempt, action); });
       return;
     }
-    what(*node.life);
+    action(*node.instance);
   }
 
-  /// What is out between the two is ended for both.
-  void cut(std::size_t router, std::size_t server) {
-    std::vector<Travelling> gone;
+  /// Closes the connections between the two: set-ups in progress end on both sides.
+  void close_connections(std::size_t router, std::size_t server) {
+    std::vector<AttemptInTransit> closed_attempts;
     std::erase_if(servers_[server].calls, [&](const auto& item) {
       const auto& call = item.second;
-      if (call.from.router != router || call.stands) return false;
-      gone.push_back(call.from);
+      if (call.attempt.router != router || call.is_established) return false;
+      closed_attempts.push_back(call.attempt);
       return true;
     });
-    for (const auto& one : gone) {
-      --servers_[server].working;
-      note({now_, servers_[server].name, What::kBroken, one.id, nodes_[router].name, 0, ""});
-      in_router(one, [one](Life& life) { life.table.on_attempt_ended(one.ref, reset_end()); });
+    for (const auto& attempt : closed_attempts) {
+      --servers_[server].set_ups_in_progress;
+      record({now_, servers_[server].name, EventKind::kBroken, attempt.id, nodes_[router].name, 0, ""});
+      run_in_router(attempt, [attempt](RouterInstance& instance) {
+        instance.table.on_attempt_ended(attempt.ref, reset_end());
+      });
     }
   }
 
-  void link_fault(const LinkFault& fault, What what) {
+  void apply_link_fault(const LinkFault& fault, EventKind kind) {
     for (auto& node : nodes_) {
       for (std::size_t i = 0; i < servers_.size(); ++i) {
         const auto& server = servers_[i].name;
-        const bool forth = covers(fault, node.name, server);
-        const bool back = covers(fault, server, node.name);
-        const auto kind = std::string(name_of(fault.kind));
-        if (forth) note({now_, node.name, what, "", server, 0, kind});
-        if (back) note({now_, server, what, "", node.name, 0, kind});
-        const bool cuts = fault.kind == LinkFaultKind::kReset || fault.kind == LinkFaultKind::kFinish;
-        if (cuts && what == What::kFaultOn && (forth || back)) cut(node.number, i);
+        const bool forward = covers(fault, node.name, server);
+        const bool backward = covers(fault, server, node.name);
+        const auto fault_name = std::string(name_of(fault.kind));
+        if (forward) record({now_, node.name, kind, "", server, 0, fault_name});
+        if (backward) record({now_, server, kind, "", node.name, 0, fault_name});
+        const bool closes_connections =
+            fault.kind == LinkFaultKind::kReset || fault.kind == LinkFaultKind::kFinish;
+        if (closes_connections && kind == EventKind::kFaultOn && (forward || backward))
+          close_connections(node.index, i);
       }
     }
   }
 
   // ---- processes -----------------------------------------------------------------------------------------
-  void begin(Node& node) {
-    ++node.lives;
-    node.life = std::make_unique<Life>(node, settings_, instant(), [this] { return instant(); });
-    auto& life = *node.life;
+  void start_instance(Node& node) {
+    ++node.start_count;
+    node.instance =
+        std::make_unique<RouterInstance>(node, settings_, instant(), [this] { return instant(); });
+    auto& instance = *node.instance;
     std::vector<core::ServerFacts> facts;
     for (const auto& server : servers_) {
-      auto& listed = life.servers.of(server.name);  // in order, so that its id is its number
-      listed.port = &life.port;
+      auto& listed = instance.servers.of(server.name);  // in order, so that the id of a server is its index
+      listed.port = &instance.ports;
       listed.state = server.state;
       facts.push_back({listed.id, PoolId{0}, server.state, std::nullopt, core::kNotKnown});
     }
-    life.table.on_endpoints_changed(true, facts);
-    note(node.name, What::kReady);
+    instance.table.on_endpoints_changed(true, facts);
+    record(node.name, EventKind::kReady);
   }
 
-  void node_fault(const NodeFault& fault) {
+  void apply_node_fault(const NodeFault& fault) {
     if (fault.kind == NodeFaultKind::kDrain) {
-      drain(fault.nodes, EndpointState::kDraining, What::kDrained);
+      drain(fault.nodes, EndpointState::kDraining, EventKind::kDrained);
       if (fault.back_after) {
-        after(*fault.back_after,
-              [this, &fault] { drain(fault.nodes, EndpointState::kReady, What::kResumed); });
+        schedule_after(*fault.back_after,
+                       [this, &fault] { drain(fault.nodes, EndpointState::kReady, EventKind::kResumed); });
       }
       return;
     }
     for (auto& node : nodes_) {
-      if (!covers(fault.nodes, node.name) || !node.life) continue;
+      if (!covers(fault.nodes, node.name) || !node.instance) continue;
       if (fault.kind == NodeFaultKind::kFreeze) {
-        note(node.name, What::kFrozen);
-        node.frozen = true;
-        if (fault.back_after) after(*fault.back_after, [this, &node] { thaw(node); });
+        record(node.name, EventKind::kFrozen);
+        node.is_frozen = true;
+        if (fault.back_after) schedule_after(*fault.back_after, [this, &node] { thaw(node); });
         continue;
       }
       crash(node);
       if (fault.back_after) {
-        after(*fault.back_after, [this, &node] {
-          note(node.name, What::kStarted);
-          after(kStartTakes, [this, &node] { begin(node); });
+        schedule_after(*fault.back_after, [this, &node] {
+          record(node.name, EventKind::kStarted);
+          schedule_after(kStartupTime, [this, &node] { start_instance(node); });
         });
       }
     }
   }
 
   void crash(Node& node) {
-    note(node.name, What::kKilled);
-    node.life.reset();
-    node.frozen = false;
-    node.missed.clear();
-    for (const auto& [id, call] : std::exchange(node.waiting, {})) {
-      note({now_, node.caller, What::kLost, id, node.name, 0, ""});
+    record(node.name, EventKind::kKilled);
+    node.instance.reset();
+    node.is_frozen = false;
+    node.deferred_actions.clear();
+    for (const auto& [id, call] : std::exchange(node.pending, {})) {
+      record({now_, node.caller, EventKind::kLost, id, node.name, 0, ""});
     }
-    for (std::size_t i = 0; i < servers_.size(); ++i) cut(node.number, i);
-    note(node.name, What::kExited, -9);
+    for (std::size_t i = 0; i < servers_.size(); ++i) close_connections(node.index, i);
+    record(node.name, EventKind::kExited, -9);
   }
 
   void thaw(Node& node) {
-    if (!node.frozen) return;
-    node.frozen = false;
-    note(node.name, What::kThawed);
-    for (const auto& missed : std::exchange(node.missed, {})) missed();
+    if (!node.is_frozen) return;
+    node.is_frozen = false;
+    record(node.name, EventKind::kThawed);
+    for (const auto& action : std::exchange(node.deferred_actions, {})) action();
   }
 
-  void drain(const std::vector<std::string>& names, EndpointState state, What what) {
+  void drain(const std::vector<std::string>& names, EndpointState state, EventKind kind) {
     for (std::size_t i = 0; i < servers_.size(); ++i) {
       if (!covers(names, servers_[i].name)) continue;
       servers_[i].state = state;
-      note(servers_[i].name, what);
+      record(servers_[i].name, kind);
       for (auto& node : nodes_) {
-        in_router({node.number, node.lives, {}, ""}, [i, state](Life& life) {
+        run_in_router({node.index, node.start_count, {}, ""}, [i, state](RouterInstance& instance) {
           const ServerId id{static_cast<std::uint32_t>(i)};
-          life.servers.find(id)->state = state;
-          life.table.on_endpoints_changed(false, {{id, PoolId{0}, state, std::nullopt, core::kNotKnown}});
+          instance.servers.find(id)->state = state;
+          instance.table.on_endpoints_changed(false, {{id, PoolId{0}, state, std::nullopt, core::kNotKnown}});
         });
       }
     }
@@ -382,71 +402,75 @@
 
   void tick() {
     for (auto& node : nodes_) {
-      if (node.life && !node.frozen) node.life->wheel.advance(instant());
+      if (node.instance && !node.is_frozen) node.instance->wheel.advance(instant());
     }
-    after(core::TimerWheel::kTick, [this] { tick(); });
+    schedule_after(core::TimerWheel::kTick, [this] { tick(); });
   }
 
   // ---- callers -------------------------------------------------------------------------------------------
-  void next_call(Node& node) {
-    const double gap = -std::log(1.0 - node.random.share()) / options_.calls_per_s;
+  void schedule_next_call(Node& node) {
+    const double gap = -std::log(1.0 - node.random.uniform()) / options_.calls_per_s;
     const Duration when = now_ + Duration{static_cast<std::int64_t>(gap * 1e6) + 1};
-    if (when >= options_.schedule.length - options_.patience) return;
-    at(when, [this, &node] {
-      next_call(node);
-      if (node.life) call(node);
+    if (when >= options_.schedule.length - options_.caller_timeout) return;
+    schedule_at(when, [this, &node] {
+      schedule_next_call(node);
+      if (node.instance) start_call(node);
     });
   }
 
-  void call(Node& node) {
+  void start_call(Node& node) {
     const auto id = node.random.call_id();
-    const auto left = std::chrono::duration_cast<milliseconds>(options_.patience).count();
-    note({now_, node.caller, What::kSetUp, id, node.name, left, ""});
-    const Instant expires = instant() + options_.patience;
-    node.waiting[id] = CallId{};
-    in_router({node.number, node.lives, {}, id}, [&node, id, expires](Life& life) {
+    const auto timeout_ms = std::chrono::duration_cast<milliseconds>(options_.caller_timeout).count();
+    record({now_, node.caller, EventKind::kSetUp, id, node.name, timeout_ms, ""});
+    const Instant expires = instant() + options_.caller_timeout;
+    node.pending[id] = CallId{};
+    run_in_router({node.index, node.start_count, {}, id}, [&node, id, expires](RouterInstance& instance) {
       core::NewSetUp set_up;
       set_up.id = id;
       set_up.call_class = "till";
       set_up.number = id;
       set_up.facts.expires = expires;
       set_up.facts.first_choice = PoolId{0};
-      const CallId call = life.table.admit(life.port, std::move(set_up));
-      life.ids[call] = id;
-      node.waiting[id] = call;
-      life.table.route(call);
+      const CallId call = instance.table.admit(instance.ports, std::move(set_up));
+      instance.ids[call] = id;
+      node.pending[id] = call;
+      instance.table.route(call);
     });
-    after(options_.patience, [this, &node, id, life = node.lives] {
-      const auto found = node.waiting.find(id);
-      if (found == node.waiting.end() || node.lives != life) return;
+    schedule_after(options_.caller_timeout, [this, &node, id, start_number = node.start_count] {
+      const auto found = node.pending.find(id);
+      if (found == node.pending.end() || node.start_count != start_number) return;
       const CallId call = found->second;
-      note({now_, node.caller, What::kGaveUp, id, node.name, 0, ""});
-      node.waiting.erase(found);
-      in_router({node.number, life, {}, id}, [call](Life& of) { of.table.abandon(call); });
+      record({now_, node.caller, EventKind::kGaveUp, id, node.name, 0, ""});
+      node.pending.erase(found);
+      run_in_router({node.index, start_number, {}, id},
+                    [call](RouterInstance& instance) { instance.table.abandon(call); });
     });
   }
 
   // ---- session servers -----------------------------------------------------------------------------------
-  void invited(const Travelling& one, std::size_t number) {
-    auto& server = servers_[number];
-    auto& node = nodes_[one.router];
-    if (node.lives != one.life || !node.life) return;  // its connection died with it
-    note({now_, server.name, What::kInvite, one.id, node.name, one.ref.attempt + 1, ""});
-    if (server.working >= options_.traits.max_out || server.calls.contains(one.id)) {
-      note({now_, server.name, What::kDenied, one.id, node.name, 503, ""});
-      to_router(one, number, [one](Life& life) {
+  void on_invite(const AttemptInTransit& attempt, std::size_t server_index) {
+    auto& server = servers_[server_index];
+    auto& node = nodes_[attempt.router];
+    if (node.start_count != attempt.start_number || !node.instance)
+      return;  // the connection closed when the process ended
+    record({now_, server.name, EventKind::kInvite, attempt.id, node.name, attempt.ref.attempt + 1, ""});
+    if (server.set_ups_in_progress >= options_.traits.max_set_ups_in_progress ||
+        server.calls.contains(attempt.id)) {
+      record({now_, server.name, EventKind::kDenied, attempt.id, node.name, 503, ""});
+      send_to_router(attempt, server_index, [attempt](RouterInstance& instance) {
         core::AttemptEnd end;
         end.outcome = Outcome::kFull;
-        life.table.on_attempt_ended(one.ref, end);
+        instance.table.on_attempt_ended(attempt.ref, end);
       });
       return;
     }
-    ++server.working;
-    const auto call_number = ++server.numbers;
-    server.calls[one.id] = {one, false, call_number};
-    if (server.random.chance(options_.traits.silent)) return;
-    after(drawn(server, options_.traits.work),
-          [this, id = one.id, number, call_number] { answer(id, number, call_number); });
+    ++server.set_ups_in_progress;
+    const auto call_number = ++server.call_count;
+    server.calls[attempt.id] = {attempt, false, call_number};
+    if (server.random.chance(options_.traits.unanswered_share)) return;
+    schedule_after(
+        random_duration(server, options_.traits.mean_answer_time),
+        [this, id = attempt.id, server_index, call_number] { answer(id, server_index, call_number); });
   }
 
   Server::Call* find(Server& server, const std::string& id, std::uint64_t call_number) {
@@ -454,49 +478,55 @@
     return found != server.calls.end() && found->second.number == call_number ? &found->second : nullptr;
   }
 
-  void answer(const std::string& id, std::size_t number, std::uint64_t call_number) {
-    auto& server = servers_[number];
+  void answer(const std::string& id, std::size_t server_index, std::uint64_t call_number) {
+    auto& server = servers_[server_index];
     auto* call = find(server, id, call_number);
     if (call == nullptr) return;
-    call->stands = true;
-    --server.working;
-    const auto description = server.name + "-" + std::to_string(++server.answers);
-    const auto one = call->from;
-    note({now_, server.name, What::kAnswered, id, nodes_[one.router].name, 0, description});
-    to_router(one, number, [this, one, number, description](Life& life) {
-      if (!life.table.on_established(one.ref, description)) {
-        to_server(one, number, [this, one, number] { ended(one, number, false); });
-      }
-    });
-    after(drawn(server, options_.traits.hold), [this, id, number, call_number] {
-      auto& at_end = servers_[number];
-      const auto* over = find(at_end, id, call_number);
-      if (over == nullptr) return;
-      const auto who = over->from;
-      at_end.calls.erase(id);
-      note({now_, at_end.name, What::kHungUp, id, nodes_[who.router].name, 0, ""});
-      tell_release(who, number, now_ + options_.times.release_late, std::make_shared<bool>(false));
+    call->is_established = true;
+    --server.set_ups_in_progress;
+    const auto description = server.name + "-" + std::to_string(++server.answer_count);
+    const auto attempt = call->attempt;
+    record({now_, server.name, EventKind::kAnswered, id, nodes_[attempt.router].name, 0, description});
+    send_to_router(
+        attempt, server_index, [this, attempt, server_index, description](RouterInstance& instance) {
+          if (!instance.table.on_established(attempt.ref, description)) {
+            send_to_server(attempt, server_index,
+                           [this, attempt, server_index] { on_end(attempt, server_index, false); });
+          }
+        });
+    schedule_after(random_duration(server, options_.traits.mean_call_time), [this, id, server_index,
+                                                                             call_number] {
+      auto& ending_server = servers_[server_index];
+      const auto* ended_call = find(ending_server, id, call_number);
+      if (ended_call == nullptr) return;
+      const auto released_attempt = ended_call->attempt;
+      ending_server.calls.erase(id);
+      record({now_, ending_server.name, EventKind::kHungUp, id, nodes_[released_attempt.router].name, 0, ""});
+      send_release(released_attempt, server_index, now_ + options_.limits.late_release_timeout,
+                   std::make_shared<bool>(false));
     });
   }
 
-  /// Told again until it has arrived, as on the connections that are opened after a lost one (PROTOCOL).
-  void tell_release(const Travelling& one, std::size_t number, Duration until,
-                    const std::shared_ptr<bool>& heard) {
-    if (*heard || now_ >= until) return;
-    to_router(one, number, [one, heard](Life& life) {
-      *heard = true;
-      life.table.on_attempt_ended(one.ref, {});
+  /// Sends the release again until it arrives, as servers do on a new connection after a lost one (PROTOCOL).
+  void send_release(const AttemptInTransit& attempt, std::size_t server_index, Duration until,
+                    const std::shared_ptr<bool>& is_received) {
+    if (*is_received || now_ >= until) return;
+    send_to_router(attempt, server_index, [attempt, is_received](RouterInstance& instance) {
+      *is_received = true;
+      instance.table.on_attempt_ended(attempt.ref, {});
+    });
+    schedule_after(kReleaseResendInterval, [this, attempt, server_index, until, is_received] {
+      send_release(attempt, server_index, until, is_received);
     });
-    after(kToldAgain, [this, one, number, until, heard] { tell_release(one, number, until, heard); });
   }
 
-  void ended(const Travelling& one, std::size_t number, bool cancelled) {
-    auto& server = servers_[number];
-    const auto found = server.calls.find(one.id);
-    if (found == server.calls.end() || found->second.stands == cancelled) return;
-    note({now_, server.name, cancelled ? What::kCancelled : What::kEnded, one.id, nodes_[one.router].name, 0,
-          ""});
-    if (cancelled) --server.working;
+  void on_end(const AttemptInTransit& attempt, std::size_t server_index, bool cancelled) {
+    auto& server = servers_[server_index];
+    const auto found = server.calls.find(attempt.id);
+    if (found == server.calls.end() || found->second.is_established == cancelled) return;
+    record({now_, server.name, cancelled ? EventKind::kCancelled : EventKind::kEnded, attempt.id,
+            nodes_[attempt.router].name, 0, ""});
+    if (cancelled) --server.set_ups_in_progress;
     server.calls.erase(found);
   }
 
@@ -504,39 +534,39 @@
   Settings settings_;
   Duration now_{};
   std::priority_queue<Step> steps_;
-  std::uint64_t numbers_ = 0;
+  std::uint64_t step_count_ = 0;
   History history_;
   std::deque<Node> nodes_;
   std::vector<Server> servers_;
   std::unordered_map<std::size_t, Direction> directions_;
 };
 
-void Port::set_up(const core::SetUp& set_up) {
+void RouterPorts::set_up(const core::SetUp& set_up) {
   node_.simulation.send_invite(node_, set_up);
 }
-bool Port::cancel(const core::AttemptRef& attempt) {
+bool RouterPorts::cancel(const core::AttemptRef& attempt) {
   node_.simulation.send_end(node_, attempt, true);
   return false;
 }
-void Port::release(const core::AttemptRef& attempt, core::Cause /*cause*/) {
+void RouterPorts::release(const core::AttemptRef& attempt, core::Cause /*cause*/) {
   node_.simulation.send_end(node_, attempt, false);
 }
-void Port::check_health(ServerId server) {
+void RouterPorts::check_health(ServerId server) {
   node_.simulation.send_probe(node_, server);
 }
-bool Port::answer(CallId call, std::string_view description) {
-  node_.simulation.told(node_, call, What::kAnswer, 0, std::string(description));
+bool RouterPorts::answer(CallId call, std::string_view description) {
+  node_.simulation.report_to_caller(node_, call, EventKind::kAnswer, 0, std::string(description));
   return true;
 }
-void Port::reject(CallId call, core::Reason /*reason*/, Duration retry_after) {
-  node_.simulation.told(node_, call, What::kRefused,
-                        std::chrono::duration_cast<milliseconds>(retry_after).count());
+void RouterPorts::reject(CallId call, core::Reason /*reason*/, Duration retry_after) {
+  node_.simulation.report_to_caller(node_, call, EventKind::kRefused,
+                                    std::chrono::duration_cast<milliseconds>(retry_after).count());
 }
-void Port::fail(CallId call, core::Reason /*reason*/) {
-  node_.simulation.told(node_, call, What::kFailed, 41);
+void RouterPorts::fail(CallId call, core::Reason /*reason*/) {
+  node_.simulation.report_to_caller(node_, call, EventKind::kFailed, 41);
 }
-void Port::release(CallId call, core::Cause cause) {
-  node_.simulation.told(node_, call, What::kReleased, static_cast<int>(cause));
+void RouterPorts::release(CallId call, core::Cause cause) {
+  node_.simulation.report_to_caller(node_, call, EventKind::kReleased, static_cast<int>(cause));
 }
 
 }  // namespace
--- a/lab/fleet/stand_ins.hpp
+++ b/lab/fleet/stand_ins.hpp
@@ -1,5 +1,5 @@
-// The other sides of a fleet: session servers over SIP, callers over JSON lines, and the command channel.
-// Each notes in the history what it saw.
+// The peers of a fleet's routers: session servers over SIP, callers over JSON lines, and the command
+// channel. Servers and callers record in the history what they observe.
 #pragma once
 
 #include <deque>
@@ -20,28 +20,30 @@
 
 namespace amberknot::lab::fleet {
 
+/// How a session server behaves.
 struct ServerTraits {
-  std::size_t max_out = 64;                        ///< set-ups in work beyond which it says 503
-  Duration work = std::chrono::milliseconds{20};   ///< mean time to the answer
-  Duration hold = std::chrono::milliseconds{800};  ///< mean time that a call stands
-  double silent = 0;                               ///< share of set-ups that it never answers
+  std::size_t max_set_ups_in_progress = 64;  ///< refuses further set-ups with status 503
+  Duration mean_answer_time = std::chrono::milliseconds{20};
+  Duration mean_call_time = std::chrono::milliseconds{800};  ///< from the answer until the server hangs up
+  double unanswered_share = 0;                               ///< share of the set-ups that it never answers
 };
 
+/// A session server over SIP.
 class SipServer : public net::TcpConnection::Owner {
  public:
   SipServer(net::Loop& loop, Scene& scene, std::string name, ServerTraits traits, std::uint64_t seed);
   ~SipServer() override;
-  /// An address for one router, so that its connections are known as its own.
+  /// Opens a listening address for one router, which identifies the router's connections, and returns it.
   asio::ip::tcp::endpoint listen_for(const std::string& router);
   [[nodiscard]] const std::string& name() const { return name_; }
 
  private:
   struct Call {
-    /// By which its set-up came. Not a plain pointer: once that has closed, a later connection, perhaps of
-    /// another router, may have the same address.
+    /// The connection of the set-up. Not a plain pointer, since a later connection, perhaps of another
+    /// router, may get the address of a closed one.
     std::weak_ptr<net::TcpConnection> connection;
     std::string router, cseq, via;
-    std::string description;  ///< empty: not answered yet
+    std::string description;  ///< empty until the call is answered
     core::TimerWheel::Handle timer = 0;
   };
   using Calls = std::unordered_map<std::string, Call>;
@@ -55,18 +57,19 @@
     Duration since{};
   };
   void accept(asio::ip::tcp::acceptor& acceptor, const std::string& router);
-  /// By that connection if it is open, otherwise by any other of the release's router.
+  /// Sends the release on `preferred` if it is open, otherwise on any other connection of the same router.
   void send_release(const Release& release, const std::shared_ptr<net::TcpConnection>& preferred);
   std::size_t on_bytes(net::TcpConnection& stream, std::span<char> bytes) override;
-  void on_closed(net::TcpConnection& stream, net::CloseReason why) override;
-  void on_request(net::TcpConnection& stream, const sip::SipRead& read);
-  void on_invite(net::TcpConnection& stream, const sip::SipRead& read);
+  void on_closed(net::TcpConnection& stream, net::CloseReason reason) override;
+  void on_request(net::TcpConnection& stream, const sip::SipRead& message);
+  void on_invite(net::TcpConnection& stream, const sip::SipRead& message);
   void answer(const std::string& id);
   void hang_up(const std::string& id);
-  void note(What what, const std::string& call, const std::string& router, std::int64_t number = 0,
-            std::string text = {});
-  Duration drawn(Duration mean) {
-    return Duration{static_cast<std::int64_t>(static_cast<double>(mean.count()) * (0.5 + random_.share()))};
+  void record(EventKind kind, const std::string& call, const std::string& router, std::int64_t number = 0,
+              std::string text = {});
+  /// Returns a duration between half and one and a half of `mean`, uniformly distributed.
+  Duration random_duration(Duration mean) {
+    return Duration{static_cast<std::int64_t>(static_cast<double>(mean.count()) * (0.5 + random_.uniform()))};
   }
 
   net::Loop& loop_;
@@ -76,23 +79,24 @@
   Random random_;
   std::list<asio::ip::tcp::acceptor> acceptors_;
   std::unordered_map<net::TcpConnection*, Connection> connections_;
-  std::list<Release> releases_;
+  std::list<Release> unconfirmed_releases_;
   Calls calls_;
-  std::size_t working_ = 0;
-  std::uint64_t answers_ = 0;
+  std::size_t set_ups_in_progress_ = 0;
+  std::uint64_t answer_count_ = 0;
 };
 
-/// Callers of one router: one connection, made anew when it is lost.
+/// The callers of one router. They share one connection, which is opened again after it closes.
 class Callers : public net::TcpConnection::Owner {
  public:
   Callers(net::Loop& loop, Scene& scene, std::string name, std::string router, asio::ip::tcp::endpoint to,
-          double calls_per_s, Duration patience, std::uint64_t seed);
+          double calls_per_s, Duration caller_timeout, std::uint64_t seed);
   ~Callers() override;
-  /// Calls until then; the first at once.
+  /// Makes calls until `end`, the first at once.
   void call_until(Duration end);
-  /// Whether the router has said that it takes calls since this was last asked for.
-  [[nodiscard]] bool ready() const { return ready_; }
-  void ask_ready();
+  /// Returns true if the router has reported since the last request_readiness() that it accepts calls.
+  [[nodiscard]] bool is_ready() const { return is_ready_; }
+  /// Asks the router whether it accepts calls, again and again until it does.
+  void request_readiness();
 
  private:
   void connect();
@@ -101,51 +105,52 @@
   void on_line(std::span<char> line);
   void on_open(net::TcpConnection& stream) override;
   std::size_t on_bytes(net::TcpConnection& stream, std::span<char> bytes) override;
-  void on_closed(net::TcpConnection& stream, net::CloseReason why) override;
-  void note(What what, const std::string& call, std::int64_t number = 0, std::string text = {});
+  void on_closed(net::TcpConnection& stream, net::CloseReason reason) override;
+  void record(EventKind kind, const std::string& call, std::int64_t number = 0, std::string text = {});
 
   net::Loop& loop_;
   Scene& scene_;
   std::string name_, router_;
   asio::ip::tcp::endpoint to_;
   double calls_per_s_;
-  Duration patience_, end_{};
+  Duration caller_timeout_, end_{};
   Random random_;
   std::shared_ptr<net::TcpConnection> stream_;
-  bool open_ = false, ready_ = false, asking_ = false;
-  struct Waiting {
+  bool is_open_ = false, is_ready_ = false, is_probing_ = false;
+  struct PendingSetUp {
     core::TimerWheel::Handle timer = 0;
-    Duration sent{};
+    Duration sent_at{};
     std::string line;
-    bool resent = false;
+    bool is_resent = false;
   };
-  std::map<std::string, Waiting> waiting_;  ///< for an answer
-  std::set<std::string> standing_;
-  core::TimerWheel::Handle next_ = 0, again_ = 0;
+  std::map<std::string, PendingSetUp> pending_;  ///< set-ups without an answer, by call id
+  std::set<std::string> established_;            ///< ids of established calls
+  core::TimerWheel::Handle next_call_timer_ = 0, retry_timer_ = 0;
 };
 
-/// The command channel of one router: the events so far, then each new one.
-class Channel : public net::TcpConnection::Owner {
+/// The command channel of one router. It sends all past events to a new subscriber, then each new event.
+class CommandChannel : public net::TcpConnection::Owner {
  public:
-  Channel(net::Loop& loop, std::string first_event);
-  ~Channel() override;
-  [[nodiscard]] asio::ip::tcp::endpoint where() const { return acceptor_.local_endpoint(); }
-  /// `nodes` as in PROTOCOL's example.
-  void tell(const std::string& nodes);
-  /// For `known` in a configuration: all that was told.
-  [[nodiscard]] std::string known() const;
+  CommandChannel(net::Loop& loop, std::string first_event);
+  ~CommandChannel() override;
+  /// Returns the address on which the channel listens.
+  [[nodiscard]] asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+  /// Sends an event to all subscribers. `nodes` is the endpoint list, as in the example of PROTOCOL.
+  void publish(const std::string& nodes);
+  /// Returns all events so far, as the value of `known` in a configuration.
+  [[nodiscard]] std::string known_events() const;
 
  private:
   void accept();
-  void beat();
+  void send_heartbeat();
   std::size_t on_bytes(net::TcpConnection& stream, std::span<char> bytes) override;
-  void on_closed(net::TcpConnection& stream, net::CloseReason why) override;
-  [[nodiscard]] std::string text_of(std::size_t event) const;
+  void on_closed(net::TcpConnection& stream, net::CloseReason reason) override;
+  [[nodiscard]] std::string event_json(std::size_t index) const;
   net::Loop& loop_;
   asio::ip::tcp::acceptor acceptor_;
   std::vector<std::string> events_;
-  std::unordered_map<net::TcpConnection*, std::shared_ptr<net::TcpConnection>> open_, listening_;
-  core::TimerWheel::Handle beat_ = 0;
+  std::unordered_map<net::TcpConnection*, std::shared_ptr<net::TcpConnection>> connections_, subscribers_;
+  core::TimerWheel::Handle heartbeat_timer_ = 0;
 };
 
 }  // namespace amberknot::lab::fleet
