--- a/lab/fleet/faults.hpp
+++ b/lab/fleet/faults.hpp
@@ -39,9 +39,10 @@
  public:
   LinkFaults(const Schedule& schedule, const std::string& from, const std::string& to);
 
+  /// Decides how a datagram that is sent at `now` is delivered.
   DatagramDelivery deliver_datagram(Duration now);
-  /// `connection` is the number of the connection on its link. It selects the share of connections that a
-  /// fault of connections affects.
+  /// Decides what happens to the bytes of a stream that are read at `now`. `connection` is the number of the
+  /// connection on its link. It selects the share of connections that a fault of connections affects.
   StreamAction stream_action(Duration now, std::uint64_t connection = 0);
   /// Returns the times at which faults begin that close connections. The relay checks its open connections
   /// then.
@@ -49,7 +50,9 @@
   [[nodiscard]] const std::vector<LinkFault>& faults() const { return faults_; }
 
  private:
+  /// Returns the fault of this kind that is active at `now`, or null.
   [[nodiscard]] const LinkFault* active_fault(LinkFaultKind kind, Duration now) const;
+  /// Returns the active fault of this kind if it affects the connection, otherwise null.
   [[nodiscard]] const LinkFault* connection_fault(LinkFaultKind kind, Duration now,
                                                   std::uint64_t connection) const;
   std::vector<LinkFault> faults_;  ///< of this direction
--- a/lab/fleet/relay.hpp
+++ b/lab/fleet/relay.hpp
@@ -55,7 +55,9 @@
   class RelayedConnection;
   void accept();
   void on_accepted(asio::ip::tcp::socket socket);
+  /// Closes the open connections that a fault affects now.
   void apply_connection_cuts();
+  /// Sets a timer for the start of each fault that closes connections.
   void schedule_connection_cuts(const LinkFaults& faults);
 
   Scene& scene_;
--- a/lab/fleet/runner.cpp
+++ b/lab/fleet/runner.cpp
@@ -225,6 +225,7 @@
     return all;
   }
 
+  /// Records that the router is ready and that its processes have ended, where this is new.
   void update_processes(Router& router) {
     if (router.is_starting && router.callers->is_ready()) {
       router.is_starting = false;
@@ -281,6 +282,7 @@
     }
   }
 
+  /// Applies the fault now and schedules its end.
   void apply_node_fault(const NodeFault& fault) {
     if (fault.kind == NodeFaultKind::kDrain) {
       drain(fault.nodes, "draining", EventKind::kDrained);
@@ -309,6 +311,7 @@
     }
   }
 
+  /// Resumes a frozen router, or starts a stopped one again once its process has ended.
   void restore(Router& router, bool has_ended) {
     if (!has_ended) {
       if (router.process) router.process->send_signal(SIGCONT);
@@ -324,6 +327,7 @@
     start(router);
   }
 
+  /// Sends the new state of the servers to all routers and records it.
   void drain(const std::vector<std::string>& nodes, const std::string& state, EventKind kind) {
     for (auto& router : routers_) router.channel->publish(endpoint_list_json(router, state, nodes, false));
     for (const auto& server : servers_) {
@@ -331,6 +335,8 @@
     }
   }
 
+  /// Sends SIGTERM to the current process of each router, and SIGKILL to those that have not ended after
+  /// kExitTimeout.
   void stop_all() {
     for (auto& router : routers_) {
       if (!router.process) continue;
@@ -353,6 +359,7 @@
     }
   }
 
+  /// Runs the event loop until the condition holds. Throws std::runtime_error after the timeout.
   void wait_until(const std::function<bool()>& condition, Duration timeout, const char* error_message) {
     const Duration from = scene_.now();
     while (!condition()) {
--- a/lab/fleet/simulation.cpp
+++ b/lab/fleet/simulation.cpp
@@ -68,13 +68,13 @@
   core::Counters counters;
   core::TimerWheel wheel;
   core::CallTable table;
-  std::unordered_map<CallId, std::string> ids;
+  std::unordered_map<CallId, std::string> ids;  ///< the callers' ids of the calls
 };
 
 /// A router and its callers.
 struct Node {
-  Node(Simulation& of, std::size_t index, std::uint64_t seed)
-      : simulation(of),
+  Node(Simulation& owner, std::size_t index, std::uint64_t seed)
+      : simulation(owner),
         index(index),
         name("n" + std::to_string(index)),
         caller("c" + std::to_string(index)),
@@ -87,7 +87,7 @@
   std::uint64_t start_count = 0;
   bool is_frozen = false;
   std::vector<std::function<void()>> deferred_actions;  ///< to run once the process is resumed
-  std::unordered_map<std::string, CallId> pending;
+  std::unordered_map<std::string, CallId> pending;      ///< set-ups without an answer, by call id
 };
 
 /// A session server.
@@ -95,7 +95,7 @@
   struct Call {
     AttemptInTransit attempt;
     bool is_established = false;
-    std::uint64_t number = 0;
+    std::uint64_t number = 0;  ///< distinguishes calls with the same id
   };
   std::string name;
   Random random;
--- a/lab/fleet/stand_ins.cpp
+++ b/lab/fleet/stand_ins.cpp
@@ -13,20 +13,23 @@
 
 namespace {
 
+// How long an unconfirmed release is sent again (PROTOCOL).
 constexpr Duration kReleaseRetention = std::chrono::seconds{8};
+// How long before a close a set-up counts as having crossed it (PROTOCOL).
 constexpr Duration kResendWindow = milliseconds{50};
 constexpr Duration kReconnectDelay = milliseconds{30};
 const asio::ip::tcp::endpoint kAnyPort{asio::ip::address_v4::loopback(), 0};
 
-std::string status_line(int status, const std::string& id, const std::string& cseq, const std::string& via,
-                        std::string_view further_headers, std::string_view body) {
-  std::string head = "SIP/2.0 " + std::to_string(status) + (status == 200 ? " OK" : " No") +
-                     "\r\nVia: " + via + "\r\nCall-ID: " + id + "\r\nCSeq: " + cseq + "\r\n";
-  head.append(further_headers)
+/// Returns a SIP response. `further_headers` holds complete header lines.
+std::string sip_response(int status, const std::string& id, const std::string& cseq, const std::string& via,
+                         std::string_view further_headers, std::string_view body) {
+  std::string message = "SIP/2.0 " + std::to_string(status) + (status == 200 ? " OK" : " No") +
+                        "\r\nVia: " + via + "\r\nCall-ID: " + id + "\r\nCSeq: " + cseq + "\r\n";
+  message.append(further_headers)
       .append("Content-Length: ")
       .append(std::to_string(body.size()))
       .append("\r\n\r\n");
-  return head.append(body);
+  return message.append(body);
 }
 
 /// Returns the name of the router, which is the last word of its Via header.
@@ -150,7 +153,7 @@
   const std::string cseq(head.cseq);
   if (set_ups_in_progress_ >= traits_.max_set_ups_in_progress || calls_.contains(id)) {
     record(EventKind::kDenied, id, router, 503);
-    stream.send(status_line(503, id, cseq, via, "X-Diagnosis: acc\r\n", ""));
+    stream.send(sip_response(503, id, cseq, via, "X-Diagnosis: acc\r\n", ""));
     return;
   }
   ++set_ups_in_progress_;
@@ -171,7 +174,7 @@
   const auto found = connections_.find(call.connection.lock().get());
   if (found == connections_.end()) return;
   record(EventKind::kAnswered, id, call.router, 0, call.description);
-  found->second.stream->send(status_line(200, id, call.cseq, call.via, "", call.description));
+  found->second.stream->send(sip_response(200, id, call.cseq, call.via, "", call.description));
 }
 
 void SipServer::hang_up(const std::string& id) {
