--- a/tests/versions_guard_test.cpp
+++ b/tests/versions_guard_test.cpp
@@ -1,5 +1,5 @@
-// Versions ruled out for a call: the module chooses among the servers of the others, and answers at once
-// where there are none. Each test fails when its guard is taken out of the module.
+// Protocol versions that are excluded for a call: the module chooses among the servers of other versions, and
+// answers at once if there are none. Each test fails if the code that it guards is removed from the module.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -9,25 +9,26 @@
 namespace amberknot::testing {
 namespace {
 
-EndpointEntry speaking(std::uint32_t server, unsigned version, EndpointState state = EndpointState::kReady) {
+EndpointEntry endpoint_with_version(std::uint32_t server, unsigned version,
+                                    EndpointState state = EndpointState::kReady) {
   return {ServerId{server}, PoolId{server}, state, {}, static_cast<ProtocolVersion>(version)};
 }
-constexpr ProtocolVersionSet bit(unsigned version) {
+constexpr ProtocolVersionSet version_bit(unsigned version) {
   return ProtocolVersionSet{1} << version;
 }
 
-std::vector<Action> call(Scenario& play, std::uint32_t id, std::uint32_t pool,
-                         ProtocolVersionSet excluded_versions) {
-  NewCall news;
-  news.call = CallId{id};
-  news.destination = PoolId{pool};
-  news.expires = Instant{1000s} + 3s;
-  news.excluded_versions = excluded_versions;
-  return play.tell(news);
+std::vector<Action> start_call(Scenario& scenario, std::uint32_t id, std::uint32_t pool,
+                               ProtocolVersionSet excluded_versions) {
+  NewCall new_call;
+  new_call.call = CallId{id};
+  new_call.destination = PoolId{pool};
+  new_call.expires = Instant{1000s} + 3s;
+  new_call.excluded_versions = excluded_versions;
+  return scenario.handle(new_call);
 }
 
-AttemptEnded refused(std::uint32_t id, std::uint32_t server, std::uint32_t attempt,
-                     ProtocolVersionSet excludes_versions) {
+AttemptEnded refused_attempt(std::uint32_t id, std::uint32_t server, std::uint32_t attempt,
+                             ProtocolVersionSet excludes_versions) {
   AttemptEnded ended;
   ended.call = CallId{id};
   ended.server = ServerId{server};
@@ -38,139 +39,146 @@
   return ended;
 }
 
-TEST(Versions, ACallGoesOnlyWhereItCanBeSaid) {
-  Scenario play;
-  play.list({speaking(1, 0), speaking(2, 1)});
-  const auto actions = call(play, 1, 1, bit(0));  // its first choice is server 1
-  EXPECT_EQ(sends_to(actions, 1), 0U);
-  EXPECT_EQ(sends_to(actions, 2), 1U);
+TEST(Versions, ACallGoesOnlyToServersWhoseVersionSupportsIt) {
+  Scenario scenario;
+  scenario.update_endpoints({endpoint_with_version(1, 0), endpoint_with_version(2, 1)});
+  const auto actions = start_call(scenario, 1, 1, version_bit(0));  // it prefers server 1
+  EXPECT_EQ(count_forwards_to(actions, 1), 0U);
+  EXPECT_EQ(count_forwards_to(actions, 2), 1U);
 }
 
-TEST(Versions, WhereItCanBeSaidNowhereItIsAnsweredAtOnce) {
-  Scenario play;
-  play.list({speaking(1, 0), speaking(2, 1), speaking(3, 2, EndpointState::kRemoved)});
-  EXPECT_EQ(answers(call(play, 1, 1, bit(0) | bit(1))), 1U);
-  EXPECT_EQ(answers(call(play, 2, 1, kAllVersions)), 1U);
-  EXPECT_TRUE(of<ForwardCall>(play.all()).empty());
+TEST(Versions, ACallThatNoVersionSupportsIsAnsweredAtOnce) {
+  Scenario scenario;
+  scenario.update_endpoints({endpoint_with_version(1, 0), endpoint_with_version(2, 1),
+                             endpoint_with_version(3, 2, EndpointState::kRemoved)});
+  EXPECT_EQ(count_negative_answers(start_call(scenario, 1, 1, version_bit(0) | version_bit(1))), 1U);
+  EXPECT_EQ(count_negative_answers(start_call(scenario, 2, 1, kAllVersions)), 1U);
+  EXPECT_TRUE(actions_of<ForwardCall>(scenario.all_actions()).empty());
 }
 
-TEST(Versions, AServerThatDrainsMayComeBackAndIsWaitedFor) {
-  Scenario play;
-  play.list({speaking(1, 0), speaking(2, 1, EndpointState::kDraining)});
-  EXPECT_EQ(answers(call(play, 1, 1, bit(0))), 0U);
-  play.at(100ms);
-  EXPECT_EQ(sends_to(play.list({speaking(2, 1)}, EndpointUpdateScope::kDelta), 2), 1U);
+TEST(Versions, ACallWaitsForADrainingServerThatMayBecomeReadyAgain) {
+  Scenario scenario;
+  scenario.update_endpoints(
+      {endpoint_with_version(1, 0), endpoint_with_version(2, 1, EndpointState::kDraining)});
+  EXPECT_EQ(count_negative_answers(start_call(scenario, 1, 1, version_bit(0))), 0U);
+  scenario.at(100ms);
+  EXPECT_EQ(count_forwards_to(
+                scenario.update_endpoints({endpoint_with_version(2, 1)}, EndpointUpdateScope::kDelta), 2),
+            1U);
 }
 
-TEST(Versions, WithNoServerListedItIsHeld) {
-  Scenario play;
-  EXPECT_EQ(answers(call(play, 1, 1, bit(0))), 0U);
+TEST(Versions, ACallIsQueuedWhileNoServerIsListed) {
+  Scenario scenario;
+  EXPECT_EQ(count_negative_answers(start_call(scenario, 1, 1, version_bit(0))), 0U);
 }
 
-TEST(Versions, AnErrorOfTheVersionRulesOutAllItsServersAndShutsNone) {
-  Scenario play;
-  play.list({speaking(1, 0), speaking(2, 0), speaking(3, 1)});
-  EXPECT_EQ(sends_to(call(play, 1, 1, 0), 1), 1U);
-  play.at(10ms);
-  const auto next = play.tell(refused(1, 1, 0, bit(0)));
-  EXPECT_EQ(sends_to(next, 3), 1U);  // not server 2, which speaks the same
-  // Server 1 goes on to get what it can be told.
-  play.at(20ms);
-  EXPECT_EQ(sends_to(play.call(2, 1), 1), 1U);
-  // The last version refuses it too: answered at once, with no second attempt anywhere.
-  const auto over = play.tell(refused(1, 3, 1, bit(1)));
-  EXPECT_EQ(answers(over), 1U);
-  EXPECT_TRUE(of<ForwardCall>(over).empty());
+TEST(Versions, ARefusalForTheVersionExcludesItsServersForThisCallOnly) {
+  Scenario scenario;
+  scenario.update_endpoints(
+      {endpoint_with_version(1, 0), endpoint_with_version(2, 0), endpoint_with_version(3, 1)});
+  EXPECT_EQ(count_forwards_to(start_call(scenario, 1, 1, 0), 1), 1U);
+  scenario.at(10ms);
+  const auto next = scenario.handle(refused_attempt(1, 1, 0, version_bit(0)));
+  EXPECT_EQ(count_forwards_to(next, 3), 1U);  // not server 2, which has the same version
+  // Server 1 still gets calls that its version supports.
+  scenario.at(20ms);
+  EXPECT_EQ(count_forwards_to(scenario.start_call(2, 1), 1), 1U);
+  // The last version refuses the call too: it is answered at once, without another attempt.
+  const auto last = scenario.handle(refused_attempt(1, 3, 1, version_bit(1)));
+  EXPECT_EQ(count_negative_answers(last), 1U);
+  EXPECT_TRUE(actions_of<ForwardCall>(last).empty());
 }
 
-TEST(Versions, ErrorsOfTheCallNeverShutAServer) {
-  Scenario play;
-  play.list({speaking(1, 0)});
+TEST(Versions, ErrorsCausedByTheCallNeverEjectAServer) {
+  Scenario scenario;
+  scenario.update_endpoints({endpoint_with_version(1, 0)});
   for (std::uint32_t id = 0; id < 20; ++id) {
-    play.at(10ms * id);
-    ASSERT_EQ(sends_to(call(play, id, 1, 0), 1), 1U) << id;
-    auto ended = refused(id, 1, 0, kAllVersions);
+    scenario.at(10ms * id);
+    ASSERT_EQ(count_forwards_to(start_call(scenario, id, 1, 0), 1), 1U) << id;
+    auto ended = refused_attempt(id, 1, 0, kAllVersions);
     ended.outcome = Outcome::kError;
-    EXPECT_EQ(answers(play.tell(ended)), 1U);
+    EXPECT_EQ(count_negative_answers(scenario.handle(ended)), 1U);
   }
 }
 
-TEST(Versions, AHeldCallIsAnsweredSoonAfterItsLastServerHasMovedOn) {
-  Scenario play;
-  play.list({speaking(1, 0, EndpointState::kDraining)});
-  EXPECT_EQ(answers(call(play, 1, 1, bit(1))), 0U);
-  play.at(50ms).list({speaking(1, 1)}, EndpointUpdateScope::kDelta);
-  play.look_until(100ms);
-  EXPECT_EQ(answers(play.all()), 1U);
+TEST(Versions, AQueuedCallIsAnsweredSoonAfterItsLastServerChangesVersion) {
+  Scenario scenario;
+  scenario.update_endpoints({endpoint_with_version(1, 0, EndpointState::kDraining)});
+  EXPECT_EQ(count_negative_answers(start_call(scenario, 1, 1, version_bit(1))), 0U);
+  scenario.at(50ms).update_endpoints({endpoint_with_version(1, 1)}, EndpointUpdateScope::kDelta);
+  scenario.run_timer_until(100ms);
+  EXPECT_EQ(count_negative_answers(scenario.all_actions()), 1U);
 }
 
-// A rolling upgrade under random refusals: nothing ever goes where it was ruled out, no call has two attempts
-// out or more than four, and each has one answer or stands.
-TEST(Versions, ARollingUpgradeKeepsTheRulings) {
+// A rolling upgrade with random refusals: no call goes to an excluded version, no call has two attempts at a
+// time or more than four in all, and each is established or gets one answer.
+TEST(Versions, ExclusionsHoldDuringARollingUpgrade) {
   std::mt19937 random(20261201);
   for (int round = 0; round < 30; ++round) {
-    Scenario play;
-    std::vector<unsigned> speaks(6);
+    Scenario scenario;
+    std::vector<unsigned> versions(6);
     std::vector<EndpointEntry> all;
-    for (std::uint32_t s = 0; s < 6; ++s) all.push_back(speaking(s, speaks[s] = random() % 3));
-    play.list(all);
-    struct Told {
-      ProtocolVersionSet out = 0;
+    for (std::uint32_t s = 0; s < 6; ++s) all.push_back(endpoint_with_version(s, versions[s] = random() % 3));
+    scenario.update_endpoints(all);
+    struct CallState {
+      ProtocolVersionSet excluded_versions = 0;
       std::uint32_t attempts = 0;
-      int at = -1;
-      int ends = 0;
+      int current_server = -1;
+      int end_count = 0;
     };
-    std::vector<Told> calls(120);
-    const auto take = [&](const std::vector<Action>& actions) {
+    std::vector<CallState> calls(120);
+    const auto check_actions = [&](const std::vector<Action>& actions) {
       for (const auto& action : actions) {
-        if (const auto* send = std::get_if<ForwardCall>(&action)) {
-          auto& one = calls[static_cast<std::uint32_t>(send->call)];
-          const auto server = static_cast<std::uint32_t>(send->server);
-          ASSERT_EQ(one.out >> speaks[server] & 1U, 0U);
-          ASSERT_EQ(one.at, -1);
-          ASSERT_EQ(one.ends, 0);
-          one.at = static_cast<int>(server);
-          ASSERT_LE(++one.attempts, 4U);
-        } else if (const auto* refuse = std::get_if<RejectCall>(&action)) {
-          auto& one = calls[static_cast<std::uint32_t>(refuse->call)];
-          ASSERT_EQ(one.at, -1);
-          ASSERT_EQ(++one.ends, 1);
+        if (const auto* forward = std::get_if<ForwardCall>(&action)) {
+          auto& call = calls[static_cast<std::uint32_t>(forward->call)];
+          const auto server = static_cast<std::uint32_t>(forward->server);
+          ASSERT_EQ(call.excluded_versions >> versions[server] & 1U, 0U);
+          ASSERT_EQ(call.current_server, -1);
+          ASSERT_EQ(call.end_count, 0);
+          call.current_server = static_cast<int>(server);
+          ASSERT_LE(++call.attempts, 4U);
+        } else if (const auto* reject = std::get_if<RejectCall>(&action)) {
+          auto& call = calls[static_cast<std::uint32_t>(reject->call)];
+          ASSERT_EQ(call.current_server, -1);
+          ASSERT_EQ(++call.end_count, 1);
         }
       }
     };
     for (std::uint32_t id = 0; id < calls.size(); ++id) {
-      play.at(10ms * id);
+      scenario.at(10ms * id);
       if (random() % 5 == 0) {
         const std::uint32_t s = random() % 6;
-        speaks[s] = random() % 3;
-        take(play.list({speaking(s, speaks[s])}, EndpointUpdateScope::kDelta));
+        versions[s] = random() % 3;
+        check_actions(
+            scenario.update_endpoints({endpoint_with_version(s, versions[s])}, EndpointUpdateScope::kDelta));
       }
-      calls[id].out = random() % 8;
-      take(call(play, id, random() % 6, calls[id].out));
+      calls[id].excluded_versions = random() % 8;
+      check_actions(start_call(scenario, id, random() % 6, calls[id].excluded_versions));
       for (std::uint32_t other = 0; other <= id; ++other) {
-        if (calls[other].at < 0 || random() % 2 == 0) continue;
-        const auto server = static_cast<std::uint32_t>(calls[other].at);
-        calls[other].at = -1;
+        if (calls[other].current_server < 0 || random() % 2 == 0) continue;
+        const auto server = static_cast<std::uint32_t>(calls[other].current_server);
+        calls[other].current_server = -1;
         const auto attempt = calls[other].attempts - 1;
         if (random() % 2 == 0) {
-          ++calls[other].ends;
-          take(play.stands(other, server, 20ms, attempt));
-          take(play.ends(other, server, Outcome::kOk, true, attempt));
+          ++calls[other].end_count;
+          check_actions(scenario.establish(other, server, 20ms, attempt));
+          check_actions(scenario.end_attempt(other, server, Outcome::kOk, true, attempt));
         } else {
-          calls[other].out |= bit(speaks[server]);
-          take(play.tell(refused(other, server, attempt, calls[other].out)));
+          calls[other].excluded_versions |= version_bit(versions[server]);
+          check_actions(
+              scenario.handle(refused_attempt(other, server, attempt, calls[other].excluded_versions)));
         }
       }
     }
     for (std::uint32_t id = 0; id < calls.size(); ++id) {
-      while (calls[id].at >= 0) {
-        const auto server = static_cast<std::uint32_t>(calls[id].at);
-        calls[id].at = -1;
-        take(play.tell(refused(id, server, calls[id].attempts - 1, kAllVersions)));
+      while (calls[id].current_server >= 0) {
+        const auto server = static_cast<std::uint32_t>(calls[id].current_server);
+        calls[id].current_server = -1;
+        check_actions(scenario.handle(refused_attempt(id, server, calls[id].attempts - 1, kAllVersions)));
       }
     }
-    take(play.look_until(5s));
-    for (const auto& one : calls) EXPECT_EQ(one.ends, 1);
+    check_actions(scenario.run_timer_until(5s));
+    for (const auto& call : calls) EXPECT_EQ(call.end_count, 1);
   }
 }
 
