--- a/bench/plain_mapping.hpp
+++ b/bench/plain_mapping.hpp
@@ -1,5 +1,5 @@
-// The plain way to do what a compiled Program does: a map of texts in, a map of texts out, every row looked
-// at by name. The slow model of the property tests, and the other side of the benchmark's ratio.
+// A direct interpreter of mapping tables, with maps of strings as input and output and every field looked up
+// by name. It is the reference model of the property tests and the baseline of the translation benchmark.
 #pragma once
 
 #include <charconv>
@@ -12,40 +12,43 @@
 
 namespace amberknot::plain {
 
+/// The fields of a message as text, by name.
 using Fields = std::map<std::string, std::string>;
 
+/// Translates messages of one kind from one dialect to another without compiling the table.
 class Interpreter {
  public:
   Interpreter(const translate::Dialect& from, const translate::Dialect& to, translate::Kind kind,
               const translate::Table& operators)
       : from_(from), to_(to), kind_(kind) {
-    // Which row counts for which field is found once; it would be unfair to search the tables for each
-    // message.
+    // The row of each field is found once: searching the tables for each message would make the comparison
+    // unfair.
     for (const auto& field : to.of(kind)) {
-      const translate::Row* best = nullptr;
+      const translate::Row* best_row = nullptr;
       int best_rank = -1;
       for (const auto* table : {&operators, &translate::own_table()}) {
         for (const auto& row : table->rows) {
           if (row.kind != kind || row.field.empty()) continue;
           if ((row.from != "*" && row.from != from.name) || (row.to != "*" && row.to != to.name)) continue;
-          if (name_in(to, row.field) != field.name) continue;
+          if (resolve_field_name(to, row.field) != field.name) continue;
           const int rank =
               (table == &operators ? 10 : 0) + (row.from != "*" ? 1 : 0) + (row.to != "*" ? 1 : 0);
           if (rank > best_rank) {
-            best = &row;
+            best_row = &row;
             best_rank = rank;
           }
         }
       }
-      rows_.push_back({&field, best});
+      rows_.push_back({&field, best_row});
     }
   }
 
-  /// Empty: not eligible, with the name of the field in `bar`.
-  std::optional<Fields> run(const Fields& in, std::string& bar) const {
+  /// Translates `in`. Returns nothing if the message is not eligible, with the name of the field in
+  /// `failed_field`.
+  std::optional<Fields> run(const Fields& in, std::string& failed_field) const {
     Fields out;
     for (const auto& [field, row] : rows_) {
-      const auto value = value_of(*field, row, in);
+      const auto value = evaluate(*field, row, in);
       if (value && holds(*field, *value)) {
         out[field->name] = *value;
         continue;
@@ -58,12 +61,13 @@
         if (std::holds_alternative<translate::LeaveOut>(*row->otherwise)) continue;
       }
       if (!value && !field->required) continue;
-      bar = field->name;
+      failed_field = field->name;
       return std::nullopt;
     }
     return out;
   }
 
+  /// True if the field may have this value.
   static bool holds(const translate::FieldSpec& field, const std::string& value) {
     if (translate::is_textual(field.type)) return translate::holds(field, std::string_view(value));
     std::int64_t number = 0;
@@ -72,7 +76,9 @@
   }
 
  private:
-  std::string name_in(const translate::Dialect& dialect, const std::string& name) const {
+  /// Resolves a name of a table, which is a field name or `@` and a meaning. Empty if the dialect has no such
+  /// field.
+  std::string resolve_field_name(const translate::Dialect& dialect, const std::string& name) const {
     if (name.empty() || name[0] != '@') return name;
     for (const auto& field : dialect.of(kind_)) {
       if (field.meaning != translate::Meaning::kNone && translate::name_of(field.meaning) == name.substr(1)) {
@@ -82,14 +88,15 @@
     return {};
   }
 
-  const translate::FieldSpec* source(const std::string& name) const {
+  const translate::FieldSpec* find_source_field(const std::string& name) const {
     for (const auto& field : from_.of(kind_)) {
       if (field.name == name) return &field;
     }
     return nullptr;
   }
 
-  std::optional<std::string> value_of(const translate::FieldSpec& to, const translate::Row* row,
+  /// The value of field `to` before its check. Nothing if its source field is absent.
+  std::optional<std::string> evaluate(const translate::FieldSpec& to, const translate::Row* row,
                                       const Fields& in) const {
     using translate::Type;
     std::string name;
@@ -98,27 +105,27 @@
         if (to.meaning != translate::Meaning::kNone && field.meaning == to.meaning) name = field.name;
       }
     } else if (const auto* copy = std::get_if<translate::Copy>(&*row->source)) {
-      name = name_in(from_, copy->of);
+      name = resolve_field_name(from_, copy->of);
     } else if (const auto* constant = std::get_if<translate::Constant>(&*row->source)) {
       return constant->value;
     } else if (const auto* derived = std::get_if<translate::Derived>(&*row->source)) {
-      const auto found = in.find(name_in(from_, derived->of));
+      const auto found = in.find(resolve_field_name(from_, derived->of));
       if (found == in.end()) return std::nullopt;
-      char made[translate::kMaxDerived];
+      char derived_value[translate::kMaxDerived];
       std::size_t size = 0;
-      if (!translate::find_rule(derived->rule)->make(found->second, to, made, size))
+      if (!translate::find_rule(derived->rule)->make(found->second, to, derived_value, size))
         return std::string("\x01 none");
-      return std::string(made, size);
+      return std::string(derived_value, size);
     } else {
       const auto& lookup = std::get<translate::Lookup>(*row->source);
-      const auto found = in.find(name_in(from_, lookup.by));
+      const auto found = in.find(resolve_field_name(from_, lookup.by));
       if (found == in.end()) return std::nullopt;
       const auto value = lookup.table.find(found->second);
       return value != lookup.table.end() ? value->second : std::string("\x01 none");
     }
     const auto found = in.find(name);
     if (found == in.end()) return std::nullopt;
-    const auto* from = source(name);
+    const auto* from = find_source_field(name);
     if (from->type == Type::kDuration && to.type == Type::kDuration) {
       std::int64_t number = 0;
       std::from_chars(found->second.data(), found->second.data() + found->second.size(), number);
--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -1,5 +1,5 @@
-// The fleet relay's own cost: one message there and back over a direct loopback connection, and through the
-// relay without faults. Both ends and the relay run on one thread, as in the lab.
+// Measures the overhead of the fleet relay: the round trip of one 512-byte message over a direct loopback
+// connection, and through the relay without faults. Both ends and the relay run on one thread, as in the lab.
 #include <benchmark/benchmark.h>
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace {
 
-void there_and_back(benchmark::State& state, bool relayed) {
+void measure_round_trip(benchmark::State& state, bool use_relay) {
   asio::io_context io{1};
   Scene scene{
       io,
@@ -23,30 +23,31 @@
   RelayCounts counts;
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   StreamRelay relay(scene, {}, "n0", "s0", acceptor.local_endpoint(), counts);
-  tcp::socket near(io), far(io);
-  bool up = false;
-  acceptor.async_accept(far, [&](const asio::error_code&) { up = true; });
-  near.connect(relayed ? relay.where() : acceptor.local_endpoint());
-  while (!up) io.run_one();
-  near.set_option(tcp::no_delay(true));
-  far.set_option(tcp::no_delay(true));
-  std::array<char, 512> out{}, at_far{}, at_near{};
+  tcp::socket client(io), server(io);
+  bool accepted = false;
+  acceptor.async_accept(server, [&](const asio::error_code&) { accepted = true; });
+  client.connect(use_relay ? relay.where() : acceptor.local_endpoint());
+  while (!accepted) io.run_one();
+  client.set_option(tcp::no_delay(true));
+  server.set_option(tcp::no_delay(true));
+  std::array<char, 512> request{}, server_buffer{}, client_buffer{};
   for (auto _ : state) {
-    bool back = false;
-    asio::async_read(far, asio::buffer(at_far), [&](const asio::error_code&, std::size_t) {
-      asio::async_write(far, asio::buffer(at_far), [](const asio::error_code&, std::size_t) {});
+    bool is_echoed = false;
+    asio::async_read(server, asio::buffer(server_buffer), [&](const asio::error_code&, std::size_t) {
+      asio::async_write(server, asio::buffer(server_buffer), [](const asio::error_code&, std::size_t) {});
     });
-    asio::async_read(near, asio::buffer(at_near), [&](const asio::error_code&, std::size_t) { back = true; });
-    asio::async_write(near, asio::buffer(out), [](const asio::error_code&, std::size_t) {});
-    while (!back) io.run_one();
+    asio::async_read(client, asio::buffer(client_buffer),
+                     [&](const asio::error_code&, std::size_t) { is_echoed = true; });
+    asio::async_write(client, asio::buffer(request), [](const asio::error_code&, std::size_t) {});
+    while (!is_echoed) io.run_one();
   }
 }
 
 void direct(benchmark::State& state) {
-  there_and_back(state, false);
+  measure_round_trip(state, false);
 }
 void through_the_relay(benchmark::State& state) {
-  there_and_back(state, true);
+  measure_round_trip(state, true);
 }
 BENCHMARK(direct);
 BENCHMARK(through_the_relay);
--- a/bench/translate_bench.cpp
+++ b/bench/translate_bench.cpp
@@ -1,5 +1,6 @@
-// A compiled mapping against the plain interpreter of the same table, and the index of duplicates against a
-// map with a second one by time. Each pair runs on the same inputs; allocations are counted as they happen.
+// Compares a compiled mapping with the direct interpreter of the same table, and the duplicate index with a
+// hash map plus a map ordered by expiry time. Each pair runs on the same inputs; allocations are counted
+// during the run.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -16,7 +17,7 @@
 std::atomic<std::uint64_t> allocations{0};
 }
 
-// GCC takes the replaced pair for a mismatch once it has inlined it.
+// GCC reports a mismatch between the replaced operators after inlining them.
 #pragma GCC diagnostic ignored "-Wmismatched-new-delete"
 
 void* operator new(std::size_t size) {
@@ -36,25 +37,26 @@
 using namespace amberknot;
 using namespace amberknot::translate;
 
-const char* kTable =
+const char* kTableJson =
     R"({"rows":[{"to":"session-2","field":"region","by":"@tenant","table":{"toko-sinar":"jakarta",)"
     R"("pasar-maju":"surabaya","warung-rejeki":"jakarta"},"otherwise":"not-eligible"}]})";
 
-/// Messages of one dialect, as texts by name; drawn from a seed.
-std::vector<plain::Fields> messages(const Dialect& dialect, std::size_t count) {
+/// Generates set-ups of one dialect from a fixed seed, as text by field name.
+std::vector<plain::Fields> generate_messages(const Dialect& dialect, std::size_t count) {
   static const std::vector<std::string> kTenants = {"toko-sinar", "pasar-maju", "warung-rejeki"};
   std::mt19937_64 random(20261201);
-  std::vector<plain::Fields> made(count);
-  for (auto& fields : made) {
+  std::vector<plain::Fields> result(count);
+  for (auto& fields : result) {
     for (const auto& field : dialect.of(Kind::kSetUp)) {
       if (!field.required && random() % 2 == 0) continue;
       if (field.meaning == Meaning::kTenant) {
         fields[field.name] = kTenants[random() % kTenants.size()];
       } else if (!is_textual(field.type)) {
         const auto unit = field.type == Type::kDuration ? field.unit : 1;
-        const auto span = field.most / unit - field.least / unit + 1;
-        fields[field.name] = std::to_string(
-            field.least / unit + static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(span)));
+        const auto value_count = field.most / unit - field.least / unit + 1;
+        fields[field.name] =
+            std::to_string(field.least / unit +
+                           static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(value_count)));
       } else {
         const auto size =
             field.meaning == Meaning::kDescription ? 200 : std::min<std::int64_t>(field.most, 16);
@@ -64,30 +66,31 @@
       }
     }
   }
-  return made;
+  return result;
 }
 
-struct Pair {
+struct DialectPair {
   const char* from;
   const char* to;
 };
-constexpr Pair kPairs[] = {{"json-lines", "sip"}, {"json-lines", "session-2"}, {"iso8583", "session-2"}};
+constexpr DialectPair kDialectPairs[] = {
+    {"json-lines", "sip"}, {"json-lines", "session-2"}, {"iso8583", "session-2"}};
 
-Table table() {
-  Table made;
-  if (!read_table(kTable, made).empty()) std::abort();
-  return made;
+Table load_table() {
+  Table result;
+  if (!read_table(kTableJson, result).empty()) std::abort();
+  return result;
 }
 
 void BM_Compiled(benchmark::State& state) {
-  const auto& pair = kPairs[state.range(0)];
-  const auto operators = table();
+  const auto& pair = kDialectPairs[state.range(0)];
+  const auto operators = load_table();
   const auto& from = *find_dialect(pair.from);
   std::vector<std::string> faults;
   const auto program = compile(from, *find_dialect(pair.to), Kind::kSetUp, operators, faults);
   if (!program) std::abort();
-  const auto values = messages(from, 256);
-  // What a front hands over: views into its message, numbers read.
+  const auto values = generate_messages(from, 256);
+  // Records as a front end passes them: views into its message, and parsed numbers.
   std::vector<std::unique_ptr<Record>> records;
   const auto& fields = from.of(Kind::kSetUp);
   for (const auto& one : values) {
@@ -106,8 +109,8 @@
   std::size_t at = 0;
   const auto before = allocations.load();
   for (auto _ : state) {
-    const auto said = program->run(*records[at++ & 255U], out);
-    if (!said) std::abort();
+    const auto eligibility = program->run(*records[at++ & 255U], out);
+    if (!eligibility) std::abort();
     benchmark::DoNotOptimize(out);
   }
   state.counters["allocations"] = benchmark::Counter(static_cast<double>(allocations.load() - before) /
@@ -116,16 +119,16 @@
 }
 
 void BM_Plain(benchmark::State& state) {
-  const auto& pair = kPairs[state.range(0)];
-  const auto operators = table();
+  const auto& pair = kDialectPairs[state.range(0)];
+  const auto operators = load_table();
   const plain::Interpreter interpreter(*find_dialect(pair.from), *find_dialect(pair.to), Kind::kSetUp,
                                        operators);
-  const auto values = messages(*find_dialect(pair.from), 256);
-  std::string bar;
+  const auto values = generate_messages(*find_dialect(pair.from), 256);
+  std::string failed_field;
   std::size_t at = 0;
   const auto before = allocations.load();
   for (auto _ : state) {
-    auto out = interpreter.run(values[at++ & 255U], bar);
+    auto out = interpreter.run(values[at++ & 255U], failed_field);
     if (!out) std::abort();
     benchmark::DoNotOptimize(out);
   }
@@ -134,9 +137,9 @@
   state.SetLabel(std::string(pair.from) + " to " + pair.to);
 }
 
-// One request and its answer; a third are repeats. Time goes by, so that entries come and go; the index is in
-// its steady state when it is measured.
-constexpr int kLive = 100'000;
+// One request and its answer; every third request is repeated. The clock advances with each request, so that
+// entries expire; the measurement starts when the index is in its steady state.
+constexpr int kLiveEntries = 100'000;
 
 void BM_DuplicateIndex(benchmark::State& state) {
   DuplicateRules rules;
@@ -145,19 +148,19 @@
   rules.open = std::chrono::seconds{30};
   Instant now{std::chrono::seconds{1}};
   DuplicateIndex index(now, rules);
-  const Duration step{rules.over / kLive};
+  const Duration step{rules.over / kLiveEntries};
   const std::string answer(64, 'a');
   std::uint64_t n = 0;
-  const auto turn = [&] {
+  const auto process_request = [&] {
     now += step;
     const auto key = request_key(1, "12345", "TERM0001", std::to_string(n), "1201093000");
     index.request(now, key, CallId{static_cast<std::uint32_t>(n)});
     index.answered(now, key, answer);
     if (n++ % 3 == 0) benchmark::DoNotOptimize(index.request(now, key, CallId{0}));
   };
-  for (int i = 0; i < 2 * kLive; ++i) turn();
+  for (int i = 0; i < 2 * kLiveEntries; ++i) process_request();
   const auto before = allocations.load();
-  for (auto _ : state) turn();
+  for (auto _ : state) process_request();
   state.counters["allocations"] = benchmark::Counter(static_cast<double>(allocations.load() - before) /
                                                      static_cast<double>(state.iterations()));
   state.counters["entries"] = static_cast<double>(index.size());
@@ -175,29 +178,29 @@
   };
   std::unordered_map<RequestKey, Entry, Hash> entries;
   std::multimap<Instant, RequestKey> due;
-  const Duration over = std::chrono::seconds{60};
+  const Duration retention = std::chrono::seconds{60};
   Instant now{std::chrono::seconds{1}};
-  const Duration step{over / kLive};
+  const Duration step{retention / kLiveEntries};
   const std::string answer(64, 'a');
   std::uint64_t n = 0;
-  const auto turn = [&] {
+  const auto process_request = [&] {
     now += step;
     while (!due.empty() && due.begin()->first <= now) {
       entries.erase(due.begin()->second);
       due.erase(due.begin());
     }
     const auto key = request_key(1, "12345", "TERM0001", std::to_string(n), "1201093000");
-    auto [at, fresh] = entries.try_emplace(key);
+    auto [at, is_new] = entries.try_emplace(key);
     at->second.call = CallId{static_cast<std::uint32_t>(n)};
-    at->second.due = due.emplace(now + over / 2, key);
+    at->second.due = due.emplace(now + retention / 2, key);
     due.erase(at->second.due);
     at->second.answer = answer;
-    at->second.due = due.emplace(now + over, key);
+    at->second.due = due.emplace(now + retention, key);
     if (n++ % 3 == 0) benchmark::DoNotOptimize(entries.find(key));
   };
-  for (int i = 0; i < 2 * kLive; ++i) turn();
+  for (int i = 0; i < 2 * kLiveEntries; ++i) process_request();
   const auto before = allocations.load();
-  for (auto _ : state) turn();
+  for (auto _ : state) process_request();
   state.counters["allocations"] = benchmark::Counter(static_cast<double>(allocations.load() - before) /
                                                      static_cast<double>(state.iterations()));
   state.counters["entries"] = static_cast<double>(entries.size());
--- a/fuzz/iso8583_fuzz.cpp
+++ b/fuzz/iso8583_fuzz.cpp
@@ -1,5 +1,5 @@
-// Any bytes are read as frames and messages. What is read without a fault is written, read again and the
-// same.
+// Fuzz target: reads arbitrary bytes as ISO 8583 frames and messages. A message that is read without an error
+// must be read back unchanged after it is written.
 #include <cstdlib>
 #include <string>
 
@@ -13,19 +13,21 @@
     const auto frame = read_frame(rest, 16 * 1024);
     if (frame.state != Frame::State::kWhole) return 0;
     Message message;
-    const auto fault = read(frame.body, message);
-    // Whatever was read, also before a fault, can be shown, and shows no secret.
-    const auto shown = describe(message);
-    if (message.text(2).size() >= 8 && shown.find("2=" + std::string(message.text(2))) != std::string::npos)
+    const auto error = read(frame.body, message);
+    // A message can be described even after an error, and its description must not contain the account
+    // number.
+    const auto description = describe(message);
+    if (message.text(2).size() >= 8 &&
+        description.find("2=" + std::string(message.text(2))) != std::string::npos)
       std::abort();
-    if (!fault) {
+    if (!error) {
       const auto written = write(message);
-      Message again;
-      if (written.empty() || read(std::string_view(written).substr(2), again)) std::abort();
+      Message reread;
+      if (written.empty() || read(std::string_view(written).substr(2), reread)) std::abort();
       for (std::size_t i = 2; i <= kElements; ++i) {
-        if (again.has(i) != message.has(i) || again.text(i) != message.text(i)) std::abort();
+        if (reread.has(i) != message.has(i) || reread.text(i) != message.text(i)) std::abort();
       }
-      if (!(again.mti == message.mti)) std::abort();
+      if (!(reread.mti == message.mti)) std::abort();
     }
     rest.remove_prefix(frame.size);
   }
--- a/fuzz/mapping_fuzz.cpp
+++ b/fuzz/mapping_fuzz.cpp
@@ -1,5 +1,6 @@
-// Any text is read as an operator's table and compiled for every pair. What compiles is run on messages at
-// the bounds of their dialects: what it gives the other dialect takes.
+// Fuzz target: reads arbitrary text as an operator's table and compiles it for every pair of dialects. Each
+// compiled mapping runs on the smallest and the largest message of its source dialect: every message that it
+// produces must be valid in the target dialect.
 #include <cstdlib>
 #include <string>
 
@@ -9,9 +10,9 @@
 
 namespace {
 
-/// The smallest or the largest message that a dialect takes.
-void fill(const std::vector<FieldSpec>& fields, bool largest, std::vector<std::string>& texts,
-          Record& record) {
+/// Fills `record` with the smallest or the largest message that a dialect accepts; `texts` holds its strings.
+void fill_message(const std::vector<FieldSpec>& fields, bool largest, std::vector<std::string>& texts,
+                  Record& record) {
   texts.assign(fields.size(), {});
   record.clear();
   for (std::size_t i = 0; i < fields.size(); ++i) {
@@ -43,14 +44,14 @@
                               {"sip", "diameter-server", "session-1", "session-2"}, table);
   for (std::size_t client = 0; client < translator.clients(); ++client) {
     for (std::size_t server = 0; server < translator.servers(); ++server) {
-      const auto no = static_cast<DialectNo>(server);
-      const auto* mapping = translator.mapping(client, no);
+      const auto server_number = static_cast<DialectNo>(server);
+      const auto* mapping = translator.mapping(client, server_number);
       if (mapping == nullptr) continue;
       for (const bool largest : {false, true}) {
-        fill(translator.client(client).of(Kind::kSetUp), largest, texts, in);
-        if (mapping->set_up.run(in, out) && fault_in(translator.server(no).of(Kind::kSetUp), out))
+        fill_message(translator.client(client).of(Kind::kSetUp), largest, texts, in);
+        if (mapping->set_up.run(in, out) && fault_in(translator.server(server_number).of(Kind::kSetUp), out))
           std::abort();
-        fill(translator.server(no).of(Kind::kAnswer), largest, texts, in);
+        fill_message(translator.server(server_number).of(Kind::kAnswer), largest, texts, in);
         if (mapping->answer.run(in, out) && fault_in(translator.client(client).of(Kind::kAnswer), out))
           std::abort();
       }
--- a/tests/bad_peers_test.cpp
+++ b/tests/bad_peers_test.cpp
@@ -133,7 +133,7 @@
 
 // Guards against callers that are never told that their call has ended: the server's release was lost with
 // the closed connection, and the server repeats it only on the next new connection, not on those already
-// open.
+// open (PROTOCOL).
 TEST_CASE("while calls are established, a stalled connection is replaced although others are open") {
   Bench bench;
   bench.list();
--- a/tests/wire_bytes.hpp
+++ b/tests/wire_bytes.hpp
@@ -1,4 +1,4 @@
-// Builds frames of the wire by hand, independently of the codec under test.
+// Builds frames of the simulator's binary protocol byte by byte, independently of the codec under test.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,13 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
+/// Appends the `width` low bytes of `value`, least significant byte first.
 inline Bytes& put(Bytes& bytes, std::uint64_t value, int width) {
   for (int i = 0; i < width; ++i) bytes.push_back(static_cast<std::uint8_t>(value >> (8 * i)));
   return bytes;
 }
 
+/// The bytes that `text` gives as pairs of hex digits.
 inline Bytes hex(std::string_view text) {
   Bytes bytes;
   for (std::size_t i = 0; i + 1 < text.size(); i += 2) {
@@ -23,12 +25,13 @@
   return bytes;
 }
 
-/// Body of a frame: records, filled up to 48 bytes each, and a tail.
+/// Builds a frame: a header, records padded to 48 bytes each, and a tail for data of variable length.
 struct Frame {
   Bytes records;
   Bytes tail;
   std::uint32_t count = 0;
 
+  /// Adds a record; the first byte of `fields` is its type.
   Frame& record(Bytes fields) {
     fields.resize(48);
     records.insert(records.end(), fields.begin(), fields.end());
@@ -52,12 +55,12 @@
     put(fields, number, 2);
     put(fields, tail.size(), 4);
     put(fields, servers.size(), 4);
-    std::uint64_t cell = 0;
+    std::uint64_t pool = 0;
     for (const auto server : servers) {
       put(tail, server, 4);
       put(tail, 0, 2);
       put(tail, 0, 1);
-      put(tail, cell++, 2);
+      put(tail, pool++, 2);
       put(tail, 0, 1);
       put(tail, 0, 4);
       put(tail, 0, 8);
@@ -76,7 +79,7 @@
     put(fields, 0, 8);
     put(fields, 0x3f800000, 4);
     put(fields, expires, 8);
-    return record(fields);  // destination 0, class 0
+    return record(fields);  // the zero padding is destination 0 and class 0
   }
   [[nodiscard]] Bytes body() const {
     Bytes bytes = records;
--- a/tests/wire_format.hpp
+++ b/tests/wire_format.hpp
@@ -1,5 +1,5 @@
-// What the tests of bytes on the wire share. Their literals are the bytes that other programs and stored
-// files depend on: a change of names in the code leaves every one of them as it is.
+// Shared helpers of the wire format tests. The literals of these tests are the bytes that other programs and
+// stored files depend on: renaming identifiers in the code must not change any of them.
 #pragma once
 
 #include <cstdio>
@@ -19,7 +19,7 @@
   return hex;
 }
 
-/// Replaces by `*` the digits that follow each `prefix`: a value that depends on the clock or on a port.
+/// Replaces the digits after each `prefix` by `*`, for values that depend on the clock or on a port.
 inline std::string mask_digits_after(std::string text, std::string_view prefix) {
   for (auto at = text.find(prefix); at != std::string::npos; at = text.find(prefix, at)) {
     at += prefix.size();
@@ -30,7 +30,7 @@
   return text;
 }
 
-/// Takes out what has come so far.
+/// Returns the bytes received so far and empties `in`.
 inline std::string taken_from(std::string& in) {
   std::string bytes;
   bytes.swap(in);
