--- a/tests/readme_example.cmake
+++ b/tests/readme_example.cmake
@@ -1,7 +1,7 @@
-# The README shows the example as it is compiled: what a reader copies is what the tests run.
+# Checks that the README quotes the example file exactly, so that readers copy code that the tests have run.
 file(READ ${README} readme)
 file(READ ${EXAMPLE} example)
 string(FIND "${readme}" "\n```cpp\n${example}```\n" at)
 if(at EQUAL -1)
-  message(FATAL_ERROR "README.md does not show ${EXAMPLE} as it stands")
+  message(FATAL_ERROR "README.md does not quote ${EXAMPLE} exactly")
 endif()
