--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -12,6 +12,7 @@
 
 namespace {
 
+/// Sends a message to an echoing peer and waits until it is back, over the relay if `use_relay`.
 void measure_round_trip(benchmark::State& state, bool use_relay) {
   asio::io_context io{1};
   Scene scene{
--- a/bench/translate_bench.cpp
+++ b/bench/translate_bench.cpp
@@ -82,6 +82,7 @@
   return result;
 }
 
+/// Translates set-ups of one pair of dialects with the compiled mapping.
 void BM_Compiled(benchmark::State& state) {
   const auto& pair = kDialectPairs[state.range(0)];
   const auto operators = load_table();
@@ -118,6 +119,7 @@
   state.SetLabel(std::string(pair.from) + " to " + pair.to);
 }
 
+/// Translates the same set-ups with the direct interpreter.
 void BM_Plain(benchmark::State& state) {
   const auto& pair = kDialectPairs[state.range(0)];
   const auto operators = load_table();
@@ -141,6 +143,7 @@
 // entries expire; the measurement starts when the index is in its steady state.
 constexpr int kLiveEntries = 100'000;
 
+/// Processes requests with the duplicate index.
 void BM_DuplicateIndex(benchmark::State& state) {
   DuplicateRules rules;
   rules.max_bytes = 64U << 20U;
@@ -167,6 +170,7 @@
   state.counters["bytes_each"] = static_cast<double>(index.bytes()) / static_cast<double>(index.size());
 }
 
+/// Processes the same requests with a hash map and a map ordered by expiry time.
 void BM_PlainDuplicates(benchmark::State& state) {
   struct Hash {
     std::size_t operator()(const RequestKey& key) const { return key.low; }
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -643,13 +643,13 @@
     const char* outcomes;  // e: error, b: number busy, s: established
     std::uint32_t next_server;
   };
-  for (const Case one : {Case{"e", 1}, Case{"ee", 1}, Case{"eee", 2}, Case{"bbbb", 1}, Case{"ebee", 2},
-                         Case{"eese", 1}, Case{"eeseee", 2}}) {
-    SCOPED_TRACE(one.outcomes);
+  for (const Case test_case : {Case{"e", 1}, Case{"ee", 1}, Case{"eee", 2}, Case{"bbbb", 1}, Case{"ebee", 2},
+                               Case{"eese", 1}, Case{"eeseee", 2}}) {
+    SCOPED_TRACE(test_case.outcomes);
     Scenario scenario;
     scenario.update_endpoints({ready_endpoint(1), ready_endpoint(2)});
     std::uint32_t id = 1;
-    for (const char* at = one.outcomes; *at != 0; ++at, ++id) {
+    for (const char* at = test_case.outcomes; *at != 0; ++at, ++id) {
       const auto now = 50ms * id;
       ASSERT_EQ(count_forwards_to(scenario.at(now).start_call(id, 1), 1), 1U);
       if (*at == 's') {
@@ -664,7 +664,7 @@
       ended.call_ended = true;
       scenario.at(now + 30ms).handle(ended);
     }
-    EXPECT_EQ(count_forwards_to(scenario.at(50ms * id).start_call(id, 1), one.next_server), 1U);
+    EXPECT_EQ(count_forwards_to(scenario.at(50ms * id).start_call(id, 1), test_case.next_server), 1U);
   }
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -90,11 +90,12 @@
   void run(Duration until) {
     for (; now_ < until; now_ += call_interval_) {
       while (!pending_setups_.empty() && pending_setups_.front().at <= now_) {
-        const auto one = pending_setups_.front();
+        const auto setup = pending_setups_.front();
         pending_setups_.pop_front();
-        record_forwards(one.sender, scenarios_[one.sender].at(now_).establish(one.call, one.server, 50ms));
-        record_forwards(one.sender,
-                        scenarios_[one.sender].end_attempt(one.call, one.server, Outcome::kOk, true));
+        record_forwards(setup.sender,
+                        scenarios_[setup.sender].at(now_).establish(setup.call, setup.server, 50ms));
+        record_forwards(setup.sender,
+                        scenarios_[setup.sender].end_attempt(setup.call, setup.server, Outcome::kOk, true));
       }
       const std::uint32_t sender = (next_call_id_ * 7919U) % sender_count_;
       record_forwards(sender, scenarios_[sender].at(now_).start_call(
--- a/tests/wire_bytes.hpp
+++ b/tests/wire_bytes.hpp
@@ -38,10 +38,12 @@
     ++count;
     return *this;
   }
+  /// Selects the instance to which the records that follow belong.
   Frame& switch_to(std::uint32_t node) {
     Bytes fields{12};
     return record(put(fields, node, 4));
   }
+  /// Starts the selected instance with JSON settings.
   Frame& launch(std::uint64_t seed, const std::string& settings) {
     Bytes fields{1};
     put(fields, seed, 8);
@@ -50,6 +52,7 @@
     tail.insert(tail.end(), settings.begin(), settings.end());
     return record(fields);
   }
+  /// Defines the endpoint list `number`; each server has a pool of its own.
   Frame& define_list(std::uint16_t number, const std::vector<std::uint32_t>& servers) {
     Bytes fields{11};
     put(fields, number, 2);
@@ -67,12 +70,14 @@
     }
     return record(fields);
   }
+  /// Sends the endpoint list `number` to the instance; `scope` is an EndpointUpdateScope.
   Frame& sync(std::uint8_t scope, std::uint16_t number) {
     Bytes fields{2};
     put(fields, 1, 8);
     put(fields, scope, 1);
     return record(put(fields, number, 2));
   }
+  /// A new call; `expires` is in microseconds.
   Frame& ingress(std::uint32_t call, std::uint64_t expires) {
     Bytes fields{3};
     put(fields, call, 4);
@@ -86,6 +91,7 @@
     bytes.insert(bytes.end(), tail.begin(), tail.end());
     return bytes;
   }
+  /// The header of the frame; `now` is in microseconds.
   [[nodiscard]] Bytes header(std::uint64_t now) const {
     Bytes bytes;
     put(bytes, records.size() + tail.size(), 4);
