--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -121,9 +121,9 @@
   scenario.at(200ms).establish(0, 1, 200ms);
   std::vector<std::size_t> sent;
   for (std::uint32_t id = 1; id <= 12; ++id) sent.push_back(count_forwards_to(scenario.start_call(id, 1), 1));
-  const auto held = std::find(sent.begin(), sent.end(), 0U);
-  ASSERT_NE(held, sent.end());
-  EXPECT_NE(std::find(held, sent.end(), 1U), sent.end());
+  const auto first_queued = std::find(sent.begin(), sent.end(), 0U);
+  ASSERT_NE(first_queued, sent.end());
+  EXPECT_NE(std::find(first_queued, sent.end(), 1U), sent.end());
 }
 
 // Guards against reusing a "too late" for a call that has more time left: in one pass it is evaluated
@@ -688,8 +688,8 @@
   scenario.start_call(1, 1);
   scenario.at(20ms).establish(1, 1, 20ms);
   scenario.at(100ms).start_call(2, 1);
-  const LoadReport calm{{}, {}, 5ms, {}, {}, {}, {}, {}};
-  scenario.at(600ms).end_attempt(1, 1, Outcome::kOk, true, 0, calm);
+  const LoadReport without_load{{}, {}, 5ms, {}, {}, {}, {}, {}};
+  scenario.at(600ms).end_attempt(1, 1, Outcome::kOk, true, 0, without_load);
   EXPECT_EQ(count_forwards_to(scenario.at(950ms).start_call(3, 1), 1), 1U);
 }
 
