--- a/src/diameter/codec.hpp
+++ b/src/diameter/codec.hpp
@@ -1,4 +1,5 @@
-// Diameter messages (RFC 6733) with the AVPs of Credit-Control (RFC 8506): read in place, written whole.
+// Codec for Diameter messages (RFC 6733) with the AVPs of Credit-Control (RFC 8506). A parsed message refers
+// to the bytes of the receive buffer; a written message is a string of its own.
 #pragma once
 
 #include <cstdint>
@@ -10,6 +11,7 @@
 
 namespace amberknot::diameter {
 
+/// Command codes.
 enum class Command : std::uint32_t {
   kCapabilitiesExchange = 257,
   kCreditControl = 272,
@@ -18,10 +20,12 @@
   kDisconnect = 282,
 };
 
+/// Application ids of the message header.
 inline constexpr std::uint32_t kBaseApplication = 0;
 inline constexpr std::uint32_t kCreditControlApplication = 4;
 
-enum class Code : std::uint32_t {
+/// AVP codes.
+enum class AvpCode : std::uint32_t {
   kUserName = 1,
   kHostIpAddress = 257,
   kAuthApplicationId = 258,
@@ -50,7 +54,8 @@
   kTerminationCause = 295,
 };
 
-enum class Result : std::uint32_t {
+/// Values of the Result-Code AVP.
+enum class ResultCode : std::uint32_t {
   kSuccess = 2001,
   kCommandUnsupported = 3001,
   kTooBusy = 3004,
@@ -71,75 +76,97 @@
   kRatingFailed = 5031,
 };
 
+/// Values of the CC-Request-Type AVP.
 enum class RequestType : std::uint32_t { kInitial = 1, kUpdate = 2, kTermination = 3, kEvent = 4 };
 
-/// What a Service-Parameter-Info of this router's carries, by its type.
-enum class Parameter : std::uint32_t { kDescription = 1, kWaitMs = 2, kRetryAfterMs = 3 };
+/// Service-Parameter-Type values that this router assigns in Service-Parameter-Info.
+enum class ServiceParameter : std::uint32_t { kDescription = 1, kWaitMs = 2, kRetryAfterMs = 3 };
 
+/// One attribute-value pair. Its views refer to the buffer that it was read from.
 struct Avp {
   std::uint32_t code = 0;
   std::uint8_t flags = 0;
   std::uint32_t vendor = 0;
   std::string_view data;
-  std::string_view whole;  ///< with its header, without padding
+  std::string_view encoded;  ///< the AVP with its header, without padding
 };
 
+/// A parsed message: the header fields and the top-level AVPs.
 struct Message {
-  bool request = false;
-  bool proxiable = false;
-  bool error = false;
-  bool sent_again = false;
+  bool is_request = false;
+  bool is_proxiable = false;
+  bool is_error = false;
+  bool is_retransmitted = false;
   std::uint32_t command = 0;
   std::uint32_t application = 0;
   std::uint32_t hop_by_hop = 0;
   std::uint32_t end_to_end = 0;
   std::vector<Avp> avps;
 
-  [[nodiscard]] bool is(Command one) const { return command == static_cast<std::uint32_t>(one); }
-  [[nodiscard]] const Avp* find(Code code) const;
-  [[nodiscard]] std::string_view text(Code code) const;
-  [[nodiscard]] std::optional<std::uint32_t> number(Code code) const;
-  /// The Service-Parameter-Value of that type.
-  [[nodiscard]] std::optional<std::string_view> parameter(Parameter type) const;
+  [[nodiscard]] bool has_command(Command expected) const {
+    return command == static_cast<std::uint32_t>(expected);
+  }
+  /// Returns the first AVP with this code and no vendor id, or null.
+  [[nodiscard]] const Avp* find(AvpCode code) const;
+  /// Returns the data of that AVP, empty if it is absent.
+  [[nodiscard]] std::string_view text(AvpCode code) const;
+  /// Returns the value of that Unsigned32 or Enumerated AVP, or nullopt if it is absent or not 4 bytes long.
+  [[nodiscard]] std::optional<std::uint32_t> number(AvpCode code) const;
+  /// Returns the Service-Parameter-Value of that type, or nullopt if there is none.
+  [[nodiscard]] std::optional<std::string_view> parameter(ServiceParameter type) const;
 };
 
-/// What is wrong with a message, as the RFC answers it.
+/// An error in a message, with the Result-Code that RFC 6733 prescribes for the answer.
 struct Fault {
-  Result result = Result::kSuccess;
-  std::string failed;  ///< the whole AVP for Failed-AVP; empty: none
-  [[nodiscard]] bool any() const { return result != Result::kSuccess; }
+  ResultCode result = ResultCode::kSuccess;
+  std::string failed_avp;  ///< the AVP to report in Failed-AVP, with its header; empty if there is none
+  [[nodiscard]] bool is_set() const { return result != ResultCode::kSuccess; }
 };
 
-struct Read {
-  enum class State { kMore, kBad, kWhole };
-  State state = State::kMore;
-  std::size_t size = 0;
+/// The result of read_message().
+struct ReadResult {
+  enum class State {
+    kIncomplete,  ///< the buffer does not hold a whole message yet
+    kTooLong,     ///< the message is longer than the limit
+    kComplete     ///< a message was read, possibly with a fault
+  };
+  State state = State::kIncomplete;
+  std::size_t size = 0;  ///< bytes of the buffer that the message takes up
   Message message;
-  Fault fault;  ///< of a whole message; after kInvalidMessageLength the stream cannot be read on
+  Fault fault;  ///< after kInvalidMessageLength the start of the next message is unknown
 };
 
-/// The first message in the buffer, `most` bytes at the longest. Views lead into the buffer.
-Read read_message(std::string_view bytes, std::size_t most);
+/// Reads the first message in the buffer, of at most `max_size` bytes. The views in the result refer to
+/// the buffer.
+ReadResult read_message(std::string_view bytes, std::size_t max_size);
 
-/// The AVPs of a group; empty: it is malformed.
+/// Returns the AVPs of a Grouped AVP, or nullopt if it is malformed. Only lengths are checked.
 std::optional<std::vector<Avp>> read_group(std::string_view data);
 
-/// An AVP that is missing, as Failed-AVP shows it: the header and the least value.
-std::string missing(Code code);
+/// Returns the example of a missing AVP that Failed-AVP carries: its header and a zero-filled value of the
+/// minimum length (RFC 6733, section 7.5).
+std::string missing_avp(AvpCode code);
 
+/// Builds the bytes of one message.
 class Writer {
  public:
   static Writer request(Command command, std::uint32_t application, std::uint32_t hop_by_hop,
                         std::uint32_t end_to_end);
-  /// With the ids, the P bit and the Proxy-Info of what it answers; 3xxx sets the error bit.
-  static Writer answer(const Message& to, Result result);
-
-  Writer& add(Code code, std::string_view data);
-  Writer& add(Code code, std::uint32_t value);
-  Writer& add_address(Code code, std::string_view dotted);
-  Writer& add_group(Code code, const std::function<void(Writer&)>& fill);
-  Writer& add_parameter(Parameter type, std::string_view value);
-  Writer& add_raw(std::string_view whole);
+  /// Starts an answer with the ids, the P bit, the Session-Id and the Proxy-Info of the request `to`. A 3xxx
+  /// result sets the error bit.
+  static Writer answer(const Message& to, ResultCode result);
+
+  Writer& add(AvpCode code, std::string_view data);
+  Writer& add(AvpCode code, std::uint32_t value);
+  /// Adds an IPv4 address given in dotted decimal notation.
+  Writer& add_address(AvpCode code, std::string_view dotted_address);
+  /// Adds a Grouped AVP, whose members `fill` writes.
+  Writer& add_group(AvpCode code, const std::function<void(Writer&)>& fill);
+  /// Adds a Service-Parameter-Info with this type and value.
+  Writer& add_parameter(ServiceParameter type, std::string_view value);
+  /// Adds an AVP that is already encoded with its header, and pads it.
+  Writer& add_raw(std::string_view encoded_avp);
+  /// Sets the message length and returns the bytes; the writer is empty afterwards.
   [[nodiscard]] std::string finish();
 
  private:
--- a/src/diameter/connection_pool.hpp
+++ b/src/diameter/connection_pool.hpp
@@ -1,5 +1,6 @@
-// The links to the session servers that speak Diameter: one peer connection each, Credit-Control sessions
-// on it. A server is used only while its peer is up and answers its watchdog.
+// Connections to the session servers that speak Diameter: one connection for each server, on which each call
+// is a Credit-Control session. A server gets calls only while its connection is up and its watchdog is
+// answered.
 #pragma once
 
 #include <deque>
@@ -15,13 +16,14 @@
 
 namespace amberknot::diameter {
 
+/// The Diameter connections to all session servers. It lives in the loop's thread.
 class ConnectionPool : public core::UpstreamPool {
  public:
-  /// Told when a server begins or ceases to take new calls, or has started anew.
-  using OnChange = std::function<void(ServerId server, bool started_anew)>;
+  /// Called when a server becomes available or unavailable for new calls, or has restarted.
+  using OnChange = std::function<void(ServerId server, bool has_restarted)>;
 
   ConnectionPool(net::Loop& loop, core::CallTable& table, core::EndpointRegistry& servers,
-                 core::Counters& counters, Identity& identity, Duration connect_limit, OnChange on_change);
+                 core::Counters& counters, Identity& identity, Duration connect_timeout, OnChange on_change);
   ~ConnectionPool() override;
 
   void on_endpoint_changed(const core::Endpoint& server) override;
@@ -37,22 +39,30 @@
 
  private:
   struct Server;
+  /// An attempt to set up a call at a server, and the session that results from it.
   struct Attempt {
     core::AttemptRef ref;
-    std::string session;
+    std::string session_id;
     std::uint32_t hop_by_hop = 0;
-    bool standing = false;
+    bool is_established = false;
   };
 
-  Server& of(ServerId id);
+  /// Returns the entry of a server, which is created if there is none.
+  Server& find_or_add(ServerId id);
   void connect(Server& server);
-  Attempt* find(Server& server, const core::AttemptRef& attempt);
-  void drop(Server& server, CallId call);
-  void terminate(Server& server, const std::string& session);
-  void take_back(Server& server);
-  void end_out(Server& server, Outcome outcome);
+  /// Returns the attempt, or null if it is over.
+  Attempt* find_attempt(Server& server, const core::AttemptRef& attempt);
+  /// Removes the attempt of a call without a message to anyone.
+  void erase_attempt(Server& server, CallId call);
+  /// Ends a session at its server: now, or when the connection is up again.
+  void terminate_session(Server& server, const std::string& session_id);
+  /// Withdraws all set-up requests that are queued but not written yet.
+  void withdraw_queued(Server& server);
+  /// Ends all attempts that the server has not answered.
+  void end_unanswered(Server& server, Outcome outcome);
   void on_answer(Server& server, const Message& message);
   void on_abort(Server& server, const Message& message);
+  /// Marks the queued request of an attempt, so that it can be withdrawn.
   static net::TcpConnection::Tag tag(const core::AttemptRef& attempt) {
     return (static_cast<net::TcpConnection::Tag>(attempt.call) << 8U) + attempt.attempt + 1;
   }
@@ -62,9 +72,9 @@
   core::EndpointRegistry& servers_;
   core::Counters& counters_;
   Identity& identity_;
-  Duration connect_limit_;
+  Duration connect_timeout_;
   OnChange on_change_;
-  std::map<ServerId, std::unique_ptr<Server>> by_id_;
+  std::map<ServerId, std::unique_ptr<Server>> servers_by_id_;
 };
 
 }  // namespace amberknot::diameter
--- a/src/diameter/frontend.hpp
+++ b/src/diameter/frontend.hpp
@@ -1,4 +1,4 @@
-// The callers' second front: Diameter peers whose Credit-Control sessions are calls.
+// The Diameter frontend: callers are Diameter peers, and each of their Credit-Control sessions is a call.
 #pragma once
 
 #include <deque>
@@ -17,17 +17,20 @@
 
 namespace amberknot::diameter {
 
+/// Accepts Diameter clients and answers their Credit-Control requests. It lives in the loop's thread.
 class Frontend : public core::Frontend, public Peer::Handler {
  public:
-  /// The tenant that a User-Name or realm belongs to; empty: none.
-  using TenantOf = std::function<std::string(std::string_view)>;
-  /// The pool of the server that a Destination-Host names.
-  using PoolOf = std::function<std::optional<PoolId>(std::string_view)>;
+  /// Returns the tenant that a User-Name or realm belongs to, or an empty text if there is none.
+  using TenantLookup = std::function<std::string(std::string_view)>;
+  /// Returns the pool of the server that a Destination-Host names, or nullopt if there is no such server.
+  using PoolLookup = std::function<std::optional<PoolId>(std::string_view)>;
 
+  /// Listens at `listen`. `allowed_hosts` holds the Origin-Hosts that may connect; if it is empty, any may.
+  /// `translator` may be null.
   Frontend(net::Loop& loop, core::CallTable& table, core::Counters& counters, Identity& identity,
            const core::Names& names, const Settings& settings, const asio::ip::tcp::endpoint& listen,
-           std::size_t max_connections, std::set<std::string> admitted, TenantOf tenant_of, PoolOf pool_of,
-           const translate::Translator* translator = nullptr);
+           std::size_t max_connections, std::set<std::string> allowed_hosts, TenantLookup find_tenant,
+           PoolLookup find_pool, const translate::Translator* translator = nullptr);
   ~Frontend() override;
 
   bool answer(CallId call, std::string_view description) override;
@@ -42,31 +45,39 @@
   void shut_down() override;
 
  private:
+  /// A Credit-Control session of a client.
   struct Session {
     CallId call{};
-    std::string host;            ///< whose it is
-    std::shared_ptr<Peer> peer;  ///< where the answer goes; null once that is gone
-    std::string request;         ///< the initial one as it came, to be answered
-    bool answered = false;
-    bool aborted = false;  ///< over on our side; its termination is still to come
+    std::string host;            ///< Origin-Host of the client that opened it
+    std::shared_ptr<Peer> peer;  ///< the connection for the answer; null after it is closed
+    std::string request;         ///< the parts of the initial request that its answer repeats, encoded
+    bool is_answered = false;
+    bool is_aborted = false;  ///< released here; the client has not terminated it yet
   };
 
-  Result admit(Peer& peer) override;
+  ResultCode admit(Peer& peer) override;
   void on_up(Peer& peer) override;
   void on_message(Peer& peer, const Message& message) override;
-  std::uint32_t& last_state(Peer& peer) override;
+  std::uint32_t& last_state_id(Peer& peer) override;
   void on_restarted(Peer& peer) override;
-  void on_down(Peer& peer, net::CloseReason why) override;
+  void on_down(Peer& peer, net::CloseReason reason) override;
 
   void accept();
-  void on_initial(Peer& peer, const Message& message);
-  void on_later(Peer& peer, const Message& message, RequestType type);
+  /// Handles a request that opens a session.
+  void on_initial_request(Peer& peer, const Message& message);
+  /// Handles an update or termination request.
+  void on_update_or_termination(Peer& peer, const Message& message, RequestType type);
+  /// Answers a request with the result of `fault`: a refused initial request or a later request.
   void reply(Peer& peer, const Message& to, const Fault& fault);
-  /// The one answer to an initial request; false: it does not fit.
-  bool finish(Session& session, Result result, const std::function<void(Writer&)>& fill);
-  void abort(const std::string& id, const Session& session, Peer& peer);
-  void forget(const std::string& id);
-  std::shared_ptr<Peer> peer_of(const std::string& host);
+  /// Sends the only answer to an initial request. Returns false if the connection is closed or the answer
+  /// would be too long.
+  bool answer_initial_request(Session& session, ResultCode result, const std::function<void(Writer&)>& fill);
+  /// Sends an abort request for a session.
+  void send_abort_request(const std::string& id, const Session& session, Peer& peer);
+  /// Removes a session without a message to anyone.
+  void erase_session(const std::string& id);
+  /// Returns a connection of that host that is up, or null.
+  std::shared_ptr<Peer> find_peer(const std::string& host);
 
   net::Loop& loop_;
   core::CallTable& table_;
@@ -75,19 +86,19 @@
   const core::Names& names_;
   const Settings& settings_;
   asio::ip::tcp::acceptor acceptor_;
-  asio::steady_timer pause_;
+  asio::steady_timer accept_retry_timer_;
   std::size_t max_connections_;
-  std::set<std::string> admitted_;
-  TenantOf tenant_of_;
-  PoolOf pool_of_;
+  std::set<std::string> allowed_hosts_;
+  TenantLookup find_tenant_;
+  PoolLookup find_pool_;
   const translate::Translator* translator_;
-  std::size_t dialect_ = 0;
+  std::size_t dialect_index_ = 0;
   translate::Record scratch_;
   std::map<Peer*, std::shared_ptr<Peer>> peers_;
   std::map<std::string, Session> sessions_;
-  std::unordered_map<CallId, std::string> by_call_;
-  std::map<std::string, std::uint32_t> state_ids_;  ///< by host
-  std::uint32_t next_id_ = 0;
+  std::unordered_map<CallId, std::string> session_ids_by_call_;
+  std::map<std::string, std::uint32_t> state_ids_by_host_;  ///< the last Origin-State-Id by host
+  std::uint32_t next_call_number_ = 0;
 };
 
 }  // namespace amberknot::diameter
--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -11,16 +11,16 @@
 using net::Loop;
 
 namespace {
-constexpr std::uint32_t kRebooting = 0;  // Disconnect-Cause
+constexpr std::uint32_t kDisconnectCauseRebooting = 0;  // REBOOTING
 }
 
 Peer::Peer(Loop& loop, core::Counters& counters, Identity& identity, Handler& handler)
     : loop_(loop), counters_(counters), identity_(identity), handler_(handler) {}
 
-void Peer::connect(const asio::ip::tcp::endpoint& to, Duration limit) {
-  initiator_ = true;
+void Peer::connect(const asio::ip::tcp::endpoint& remote, Duration timeout) {
+  is_initiator_ = true;
   stream_ = std::make_shared<net::TcpConnection>(loop_, *this);
-  stream_->connect(to, limit);
+  stream_->connect(remote, timeout);
 }
 
 void Peer::adopt(asio::ip::tcp::socket socket) {
@@ -29,250 +29,257 @@
 }
 
 Writer Peer::request(Command command, std::uint32_t application, std::uint32_t* hop_by_hop) {
-  const std::uint32_t hop = next_hop_by_hop_++;
-  if (hop_by_hop != nullptr) *hop_by_hop = hop;
-  return Writer::request(command, application, hop, identity_.next_end_to_end++);
+  const std::uint32_t id = next_hop_by_hop_++;
+  if (hop_by_hop != nullptr) *hop_by_hop = id;
+  return Writer::request(command, application, id, identity_.next_end_to_end++);
 }
 
-Writer& Peer::origin(Writer& writer) const {
-  return writer.add(Code::kOriginHost, identity_.host).add(Code::kOriginRealm, identity_.realm);
+Writer& Peer::add_origin(Writer& writer) const {
+  return writer.add(AvpCode::kOriginHost, identity_.host).add(AvpCode::kOriginRealm, identity_.realm);
 }
 
 Writer Peer::answer(const Message& to, const Fault& fault) const {
   auto writer = Writer::answer(to, fault.result);
-  origin(writer);
-  if (!fault.failed.empty())
-    writer.add_group(Code::kFailedAvp, [&](Writer& in) { in.add_raw(fault.failed); });
+  add_origin(writer);
+  if (!fault.failed_avp.empty())
+    writer.add_group(AvpCode::kFailedAvp, [&](Writer& group) { group.add_raw(fault.failed_avp); });
   return writer;
 }
 
 void Peer::on_open(net::TcpConnection& /*stream*/) {
-  // The capabilities exchange comes first, and within its time.
-  timer_ = loop_.after(identity_.capabilities, [this, self = shared_from_this()] {
+  // The capabilities exchange must be the first exchange and end within its limit.
+  timer_ = loop_.after(identity_.capabilities_timeout, [this, self = shared_from_this()] {
     timer_ = 0;
     fail(CloseReason::kNeverUp);
   });
-  if (!initiator_) return;
+  if (!is_initiator_) return;
   auto cer = request(Command::kCapabilitiesExchange, kBaseApplication);
-  origin(cer).add_address(Code::kHostIpAddress, stream_->remote().address().to_string());
-  cer.add(Code::kVendorId, 0U)
-      .add(Code::kProductName, "amberknot")
-      .add(Code::kOriginStateId, identity_.state_id);
-  cer.add(Code::kAuthApplicationId, kCreditControlApplication);
+  add_origin(cer).add_address(AvpCode::kHostIpAddress, stream_->remote().address().to_string());
+  cer.add(AvpCode::kVendorId, 0U)
+      .add(AvpCode::kProductName, "amberknot")
+      .add(AvpCode::kOriginStateId, identity_.state_id);
+  cer.add(AvpCode::kAuthApplicationId, kCreditControlApplication);
   send(cer);
 }
 
 std::size_t Peer::on_bytes(net::TcpConnection& stream, std::span<char> bytes) {
   const auto self = shared_from_this();
-  std::size_t taken = 0;
-  while (taken < bytes.size()) {
-    const auto read = read_message({bytes.data() + taken, bytes.size() - taken}, net::kMaxMessage);
-    if (read.state == Read::State::kMore) break;
-    if (read.state == Read::State::kBad) {
+  std::size_t consumed = 0;
+  while (consumed < bytes.size()) {
+    const auto read = read_message({bytes.data() + consumed, bytes.size() - consumed}, net::kMaxMessage);
+    if (read.state == ReadResult::State::kIncomplete) break;
+    if (read.state == ReadResult::State::kTooLong) {
       ++counters_.unreadable;
-      net::log::warn("diameter: over-long message from ", stream.remote(), ": connection closed");
+      net::log::warn("diameter: message from ", stream.remote(),
+                     " exceeds the maximum length; connection closed");
       fail(CloseReason::kOverrun);
       return bytes.size();
     }
-    on_read(read);
+    on_message_read(read);
     if (stream.is_closed()) return bytes.size();
-    taken += read.size;
+    consumed += read.size;
   }
-  return taken;
+  return consumed;
 }
 
-void Peer::on_read(const Read& read) {
+void Peer::on_message_read(const ReadResult& read) {
   const auto& message = read.message;
-  heard_at_ = Loop::now();
-  if (!up_) {
+  last_received_at_ = Loop::now();
+  if (!is_up_) {
     on_capabilities(read);
     return;
   }
-  if (read.fault.any()) {
+  if (read.fault.is_set()) {
     ++counters_.malformed;
-    net::log::warn("diameter: command ", message.command, " from ", host_, " is answered with ",
-                   static_cast<std::uint32_t>(read.fault.result));
-    if (message.request) {
+    net::log::warn("diameter: invalid message with command ", message.command, " from ", host_,
+                   ", Result-Code ", static_cast<std::uint32_t>(read.fault.result));
+    if (message.is_request) {
       auto writer = answer(message, read.fault);
       send(writer);
     } else {
-      handler_.on_message(*this, message);  // what it answers has its end, if not the one it was to have
+      handler_.on_message(*this, message);  // an invalid answer still ends the request that it answers
     }
-    if (read.fault.result == Result::kInvalidMessageLength) fail(CloseReason::kReset);
+    if (read.fault.result == ResultCode::kInvalidMessageLength) fail(CloseReason::kReset);
     return;
   }
-  learn_state(message);
+  on_origin_state_id(message);
   if (stream_->is_closed()) return;
-  const bool of_session = message.is(Command::kCreditControl) || message.is(Command::kAbortSession);
-  if (message.is(Command::kWatchdog) || message.is(Command::kDisconnect)) {
-    on_base(message);
-  } else if (of_session) {
+  const bool is_application_message =
+      message.has_command(Command::kCreditControl) || message.has_command(Command::kAbortSession);
+  if (message.has_command(Command::kWatchdog) || message.has_command(Command::kDisconnect)) {
+    on_base_message(message);
+  } else if (is_application_message) {
     handler_.on_message(*this, message);
-  } else if (message.request) {
-    auto writer = answer(message, {Result::kCommandUnsupported, {}});
+  } else if (message.is_request) {
+    auto writer = answer(message, {ResultCode::kCommandUnsupported, {}});
     send(writer);
   }
 }
 
-void Peer::on_capabilities(const Read& read) {
+void Peer::on_capabilities(const ReadResult& read) {
   const auto& message = read.message;
-  if (!message.is(Command::kCapabilitiesExchange) || message.request == initiator_) {
-    net::log::warn("diameter: ", stream_->remote(), " begins with command ", message.command);
+  if (!message.has_command(Command::kCapabilitiesExchange) || message.is_request == is_initiator_) {
+    net::log::warn("diameter: ", stream_->remote(),
+                   " did not start with a capabilities exchange; connection closed; command ",
+                   message.command);
     fail(CloseReason::kReset);
     return;
   }
-  host_ = message.text(Code::kOriginHost);
-  realm_ = message.text(Code::kOriginRealm);
-  if (initiator_) {
-    const auto result = message.number(Code::kResultCode).value_or(0);
-    if (result / 1000 != 2 || read.fault.any()) {
-      net::log::warn("diameter: ", stream_->remote(), " answers the capabilities exchange with ", result);
+  host_ = message.text(AvpCode::kOriginHost);
+  realm_ = message.text(AvpCode::kOriginRealm);
+  if (is_initiator_) {
+    const auto result = message.number(AvpCode::kResultCode).value_or(0);
+    if (result / 1000 != 2 || read.fault.is_set()) {
+      net::log::warn("diameter: ", stream_->remote(),
+                     " refused the capabilities exchange; connection closed; Result-Code ", result);
       fail(CloseReason::kReset);
       return;
     }
-    learn_state(message);
-    up();
+    on_origin_state_id(message);
+    mark_up();
     return;
   }
   Fault fault = read.fault;
-  bool common = false;
+  bool has_common_application = false;
   for (const auto& avp : message.avps) {
     constexpr std::uint32_t kRelay = 0xffffffff;
-    if (avp.code != static_cast<std::uint32_t>(Code::kAuthApplicationId) || avp.data.size() != 4) continue;
-    Message one;
-    one.avps.push_back(avp);
-    const auto id = one.number(Code::kAuthApplicationId);
-    common = common || id == kCreditControlApplication || id == kRelay;
+    if (avp.code != static_cast<std::uint32_t>(AvpCode::kAuthApplicationId) || avp.data.size() != 4) continue;
+    Message single;
+    single.avps.push_back(avp);
+    const auto id = single.number(AvpCode::kAuthApplicationId);
+    has_common_application = has_common_application || id == kCreditControlApplication || id == kRelay;
   }
-  for (const Code code : {Code::kOriginHost, Code::kOriginRealm}) {
-    if (!fault.any() && message.text(code).empty()) fault = {Result::kMissingAvp, missing(code)};
+  for (const AvpCode code : {AvpCode::kOriginHost, AvpCode::kOriginRealm}) {
+    if (!fault.is_set() && message.text(code).empty()) fault = {ResultCode::kMissingAvp, missing_avp(code)};
   }
-  if (!fault.any() && !common) fault = {Result::kNoCommonApplication, {}};
-  if (!fault.any()) fault.result = handler_.admit(*this);
+  if (!fault.is_set() && !has_common_application) fault = {ResultCode::kNoCommonApplication, {}};
+  if (!fault.is_set()) fault.result = handler_.admit(*this);
   auto cea = answer(message, fault);
-  cea.add_address(Code::kHostIpAddress, stream_->remote().address().to_string());
-  cea.add(Code::kVendorId, 0U)
-      .add(Code::kProductName, "amberknot")
-      .add(Code::kOriginStateId, identity_.state_id);
-  cea.add(Code::kAuthApplicationId, kCreditControlApplication);
+  cea.add_address(AvpCode::kHostIpAddress, stream_->remote().address().to_string());
+  cea.add(AvpCode::kVendorId, 0U)
+      .add(AvpCode::kProductName, "amberknot")
+      .add(AvpCode::kOriginStateId, identity_.state_id);
+  cea.add(AvpCode::kAuthApplicationId, kCreditControlApplication);
   send(cea);
-  if (fault.any()) {
-    net::log::warn("diameter: ", stream_->remote(),
-                   " not admitted: ", static_cast<std::uint32_t>(fault.result));
+  if (fault.is_set()) {
+    net::log::warn("diameter: ", stream_->remote(), " not admitted; connection closed; Result-Code ",
+                   static_cast<std::uint32_t>(fault.result));
     fail(CloseReason::kReset);
     return;
   }
-  learn_state(message);
-  up();
+  on_origin_state_id(message);
+  mark_up();
 }
 
-void Peer::up() {
-  up_ = true;
+void Peer::mark_up() {
+  is_up_ = true;
   net::log::info("diameter: ", host_, " is up");
   loop_.wheel.cancel(timer_);
-  set_watchdog();
+  start_watchdog_timer();
   handler_.on_up(*this);
 }
 
-void Peer::on_base(const Message& message) {
-  if (message.request) {
-    auto writer = answer(message, {Result::kSuccess, {}});
-    if (message.is(Command::kWatchdog)) writer.add(Code::kOriginStateId, identity_.state_id);
+void Peer::on_base_message(const Message& message) {
+  if (message.is_request) {
+    auto writer = answer(message, {ResultCode::kSuccess, {}});
+    if (message.has_command(Command::kWatchdog)) writer.add(AvpCode::kOriginStateId, identity_.state_id);
     send(writer);
-    if (message.is(Command::kDisconnect) && !std::exchange(leaving_, true)) {
-      net::log::info("diameter: ", host_, " disconnects, cause ",
-                     message.number(Code::kDisconnectCause).value_or(kRebooting));
-      handler_.on_leaving(*this);
+    if (message.has_command(Command::kDisconnect) && !std::exchange(is_disconnecting_, true)) {
+      net::log::info("diameter: ", host_, " sent a disconnect request, cause ",
+                     message.number(AvpCode::kDisconnectCause).value_or(kDisconnectCauseRebooting));
+      handler_.on_disconnect_request(*this);
     }
     return;
   }
-  if (message.is(Command::kDisconnect)) {
+  if (message.has_command(Command::kDisconnect)) {
     fail(CloseReason::kEnded);
     return;
   }
-  if (!std::exchange(asked_, false)) return;
-  handler_.on_watchdog(*this, Loop::now() - asked_at_);
-  if (!std::exchange(healthy_, true)) {
-    net::log::info("diameter: ", host_, " answers watchdogs again");
-    handler_.on_health(*this, true);
+  if (!std::exchange(is_watchdog_pending_, false)) return;
+  handler_.on_watchdog_answer(*this, Loop::now() - watchdog_sent_at_);
+  if (!std::exchange(is_healthy_, true)) {
+    net::log::info("diameter: ", host_, " answers watchdog requests again; new calls may go to it");
+    handler_.on_health_changed(*this, true);
   }
 }
 
-void Peer::learn_state(const Message& message) {
-  const auto id = message.number(Code::kOriginStateId);
-  // Zero or none says nothing of restarts; a lower one is a clock set back, not a restart.
+void Peer::on_origin_state_id(const Message& message) {
+  const auto id = message.number(AvpCode::kOriginStateId);
+  // An id of zero or no id does not tell about restarts. A lower id than before comes from a clock that was
+  // set back, not from a restart.
   if (!id || *id == 0) return;
-  auto& last = handler_.last_state(*this);
-  const std::uint32_t had = std::exchange(last, std::max(*id, last));
-  if (had != 0 && *id > had) handler_.on_restarted(*this);
+  auto& last = handler_.last_state_id(*this);
+  const std::uint32_t previous = std::exchange(last, std::max(*id, last));
+  if (previous != 0 && *id > previous) handler_.on_restarted(*this);
 }
 
-void Peer::set_watchdog() {
+void Peer::start_watchdog_timer() {
   static std::minstd_rand random{std::random_device{}()};
-  const auto most = identity_.jitter.count();
-  const Duration vary{std::uniform_int_distribution<std::int64_t>(-most, most)(random)};
-  timer_ = loop_.after(identity_.watchdog + vary, [this, self = shared_from_this()] {
+  const auto max_offset = identity_.jitter.count();
+  const Duration offset{std::uniform_int_distribution<std::int64_t>(-max_offset, max_offset)(random)};
+  timer_ = loop_.after(identity_.watchdog + offset, [this, self = shared_from_this()] {
     timer_ = 0;
-    on_watchdog_due();
+    on_watchdog_timer();
   });
 }
 
-// RFC 3539 with two departures: a DWR goes out each Tw also while other messages come, and only a DWA clears
-// it. There any message does, so that a peer whose watchdog has gone silent would count as alive for as long
-// as answers still come; here it gets no new calls, and those that are out may finish.
-void Peer::on_watchdog_due() {
-  if (!asked_) {
+// This deviates from RFC 3539 in two points: a DWR is sent each Tw even while other messages are received,
+// and only a DWA answers it. In the RFC any message does, so a peer that no longer answers its watchdog would
+// count as alive as long as other answers are received. Here it gets no new calls, and unanswered set-ups may
+// finish.
+void Peer::on_watchdog_timer() {
+  if (!is_watchdog_pending_) {
     send_watchdog();
-  } else if (Loop::now() - asked_at_ < identity_.watchdog - identity_.jitter) {
-    // Asked out of turn, for a probe: its time is not up.
-  } else if (std::exchange(healthy_, false)) {
-    net::log::warn("diameter: ", host_, " does not answer the watchdog: no new calls there");
-    handler_.on_health(*this, false);
-  } else if (Loop::now() - heard_at_ >= identity_.watchdog) {
-    net::log::warn("diameter: ", host_, " is silent: connection closed");
+  } else if (Loop::now() - watchdog_sent_at_ < identity_.watchdog - identity_.jitter) {
+    // A health check sent the DWR between two timer events: its time to answer is not over yet.
+  } else if (std::exchange(is_healthy_, false)) {
+    net::log::warn("diameter: ", host_, " did not answer a watchdog request in time; no new calls go to it");
+    handler_.on_health_changed(*this, false);
+  } else if (Loop::now() - last_received_at_ >= identity_.watchdog) {
+    net::log::warn("diameter: ", host_, " sent nothing for a whole watchdog interval; connection closed");
     fail(CloseReason::kReset);
     return;
   } else {
-    // Other messages still come: asked anew, it may show that its watchdog is back.
-    asked_ = false;
+    // Other messages are still received: a new DWR shows whether the peer answers watchdogs again.
+    is_watchdog_pending_ = false;
     send_watchdog();
   }
-  set_watchdog();
+  start_watchdog_timer();
 }
 
 void Peer::send_watchdog() {
-  if (!up_ || asked_) return;
-  asked_ = true;
-  asked_at_ = Loop::now();
+  if (!is_up_ || is_watchdog_pending_) return;
+  is_watchdog_pending_ = true;
+  watchdog_sent_at_ = Loop::now();
   auto dwr = request(Command::kWatchdog, kBaseApplication);
-  origin(dwr).add(Code::kOriginStateId, identity_.state_id);
+  add_origin(dwr).add(AvpCode::kOriginStateId, identity_.state_id);
   send(dwr);
 }
 
 void Peer::disconnect() {
-  if (!up_ || std::exchange(leaving_, true)) return;
+  if (!is_up_ || std::exchange(is_disconnecting_, true)) return;
   auto dpr = request(Command::kDisconnect, kBaseApplication);
-  origin(dpr).add(Code::kDisconnectCause, kRebooting);
+  add_origin(dpr).add(AvpCode::kDisconnectCause, kDisconnectCauseRebooting);
   send(dpr);
 }
 
 void Peer::close() {
   loop_.wheel.cancel(std::exchange(timer_, 0));
-  up_ = false;
+  is_up_ = false;
   if (stream_) stream_->close();
 }
 
-void Peer::fail(CloseReason why) {
+void Peer::fail(CloseReason reason) {
   const auto self = shared_from_this();
   stream_->close();
-  on_closed(*stream_, why);
+  on_closed(*stream_, reason);
 }
 
-void Peer::on_closed(net::TcpConnection& /*stream*/, CloseReason why) {
+void Peer::on_closed(net::TcpConnection& /*stream*/, CloseReason reason) {
   const auto self = shared_from_this();
   loop_.wheel.cancel(std::exchange(timer_, 0));
-  up_ = false;
-  handler_.on_down(*this, why);
+  is_up_ = false;
+  handler_.on_down(*this, reason);
 }
 
 }  // namespace amberknot::diameter
--- a/src/diameter/peer.hpp
+++ b/src/diameter/peer.hpp
@@ -1,5 +1,5 @@
-// One Diameter connection: capabilities exchange, watchdog (RFC 3539), disconnect and the other side's
-// Origin-State-Id. What belongs to the application goes to the handler.
+// One Diameter connection: capabilities exchange, watchdog (RFC 3539), disconnect and the peer's
+// Origin-State-Id. Messages of the application are passed to the handler.
 #pragma once
 
 #include <cstdint>
@@ -13,88 +13,105 @@
 
 namespace amberknot::diameter {
 
-/// What this router says of itself, and its patience.
+/// The identity that this router presents to its peers, and the timers of its connections. All clients and
+/// servers share one identity and one space of End-to-End Identifiers.
 struct Identity {
   std::string host;
   std::string realm;
-  std::uint32_t state_id = 0;                       ///< new with each start of the router
-  Duration watchdog = std::chrono::seconds{30};     ///< Tw
-  Duration jitter = std::chrono::seconds{2};        ///< Tw varies by so much either way
-  Duration capabilities = std::chrono::seconds{5};  ///< for the capabilities exchange
+  std::uint32_t state_id = 0;                    ///< Origin-State-Id; higher after each start of the router
+  Duration watchdog = std::chrono::seconds{30};  ///< Tw of RFC 3539
+  Duration jitter = std::chrono::seconds{2};     ///< Tw varies at random by up to this much either way
+  Duration capabilities_timeout = std::chrono::seconds{5};  ///< for the whole capabilities exchange
   std::uint32_t next_end_to_end = 0;
 };
 
+/// A connection with one Diameter peer, opened by either side. It lives in the loop's thread.
 class Peer : public net::TcpConnection::Owner, public std::enable_shared_from_this<Peer> {
  public:
+  /// Receives the events of a connection.
   class Handler {
    public:
     virtual ~Handler() = default;
-    /// The other side may be known or not: success admits it.
-    virtual Result admit(Peer& /*peer*/) { return Result::kSuccess; }
+    /// Decides whether a peer that has connected may stay. Any result but success refuses it.
+    virtual ResultCode admit(Peer& /*peer*/) { return ResultCode::kSuccess; }
+    /// The capabilities exchange has succeeded.
     virtual void on_up(Peer& peer) = 0;
+    /// A Credit-Control or Abort-Session message, or an answer in which a fault was found.
     virtual void on_message(Peer& peer, const Message& message) = 0;
-    /// False: a watchdog was not answered in time. True: it answers again.
-    virtual void on_health(Peer& /*peer*/, bool /*healthy*/) {}
-    /// Every DWA, with the time that it took.
-    virtual void on_watchdog(Peer& /*peer*/, Duration /*taken*/) {}
-    /// The other side has said that it disconnects.
-    virtual void on_leaving(Peer& /*peer*/) {}
-    /// The last Origin-State-Id of the other side, kept from one connection to the next.
-    virtual std::uint32_t& last_state(Peer& peer) = 0;
-    /// Its Origin-State-Id went up: it has lost all its sessions.
+    /// `is_healthy` is false when a watchdog request was not answered in time, true when one is answered
+    /// again.
+    virtual void on_health_changed(Peer& /*peer*/, bool /*is_healthy*/) {}
+    /// A DWA came; `round_trip` is the time since the DWR.
+    virtual void on_watchdog_answer(Peer& /*peer*/, Duration /*round_trip*/) {}
+    /// The peer has sent a DPR.
+    virtual void on_disconnect_request(Peer& /*peer*/) {}
+    /// The last known Origin-State-Id of the peer, which the handler keeps between connections.
+    virtual std::uint32_t& last_state_id(Peer& peer) = 0;
+    /// The peer's Origin-State-Id has increased: it has lost all its sessions.
     virtual void on_restarted(Peer& peer) = 0;
-    virtual void on_down(Peer& peer, net::CloseReason why) = 0;
+    /// The connection is closed.
+    virtual void on_down(Peer& peer, net::CloseReason reason) = 0;
   };
 
   Peer(net::Loop& loop, core::Counters& counters, Identity& identity, Handler& handler);
   ~Peer() override { close(); }
 
-  void connect(const asio::ip::tcp::endpoint& to, Duration limit);
+  /// Connects to a server, within `timeout`.
+  void connect(const asio::ip::tcp::endpoint& remote, Duration timeout);
+  /// Takes over the accepted socket of a client.
   void adopt(asio::ip::tcp::socket socket);
-  /// A request's Origin-Host and Origin-Realm are added behind its Session-Id by the caller: see origin().
+  /// Starts a request and stores its Hop-by-Hop Identifier in `hop_by_hop`, if given. The caller adds the
+  /// Session-Id, if there is one, and then calls add_origin().
   Writer request(Command command, std::uint32_t application, std::uint32_t* hop_by_hop = nullptr);
-  Writer& origin(Writer& writer) const;
+  /// Adds Origin-Host and Origin-Realm of this router.
+  Writer& add_origin(Writer& writer) const;
   void send(Writer& writer, net::TcpConnection::Tag tag = 0) { stream_->send(writer.finish(), {}, tag); }
-  /// An answer of the same kind with origin and, where there is one, Failed-AVP.
+  /// Starts an answer to the request `to` with the origin and, if the fault names an AVP, Failed-AVP.
   Writer answer(const Message& to, const Fault& fault) const;
+  /// Sends a DWR unless one is unanswered.
   void send_watchdog();
-  void disconnect();  ///< DPR, and close once it is answered
+  void disconnect();  ///< sends a DPR and closes the connection when it is answered
+  /// Closes the connection without calling on_down().
   void close();
 
-  [[nodiscard]] bool is_up() const { return up_; }
-  [[nodiscard]] bool healthy() const { return up_ && healthy_ && !leaving_; }
+  [[nodiscard]] bool is_up() const { return is_up_; }
+  /// Returns true while new sessions may be opened: the peer is up, answers its watchdog and neither side has
+  /// sent a DPR.
+  [[nodiscard]] bool is_healthy() const { return is_up_ && is_healthy_ && !is_disconnecting_; }
+  /// Origin-Host of the peer, empty before the capabilities exchange.
   [[nodiscard]] const std::string& host() const { return host_; }
+  /// Origin-Realm of the peer, empty before the capabilities exchange.
   [[nodiscard]] const std::string& realm() const { return realm_; }
   [[nodiscard]] net::TcpConnection& stream() { return *stream_; }
 
  private:
   void on_open(net::TcpConnection& stream) override;
   std::size_t on_bytes(net::TcpConnection& stream, std::span<char> bytes) override;
-  void on_closed(net::TcpConnection& stream, net::CloseReason why) override;
-  void on_read(const Read& read);
-  void on_capabilities(const Read& read);
-  void on_base(const Message& message);
-  void learn_state(const Message& message);
-  void up();
-  void set_watchdog();
-  void on_watchdog_due();
-  void fail(net::CloseReason why);
+  void on_closed(net::TcpConnection& stream, net::CloseReason reason) override;
+  void on_message_read(const ReadResult& read);
+  void on_capabilities(const ReadResult& read);
+  void on_base_message(const Message& message);
+  void on_origin_state_id(const Message& message);
+  void mark_up();
+  void start_watchdog_timer();
+  void on_watchdog_timer();
+  void fail(net::CloseReason reason);
 
   net::Loop& loop_;
   core::Counters& counters_;
   Identity& identity_;
   Handler& handler_;
   std::shared_ptr<net::TcpConnection> stream_;
-  bool initiator_ = false;
-  bool up_ = false;
-  bool healthy_ = true;
-  bool leaving_ = false;
-  bool asked_ = false;  ///< a DWR is out
-  Instant asked_at_{};
-  Instant heard_at_{};
+  bool is_initiator_ = false;
+  bool is_up_ = false;
+  bool is_healthy_ = true;
+  bool is_disconnecting_ = false;
+  bool is_watchdog_pending_ = false;  ///< a DWR is unanswered
+  Instant watchdog_sent_at_{};
+  Instant last_received_at_{};
   std::uint32_t next_hop_by_hop_ = 1;
   std::string host_, realm_;
-  core::TimerWheel::Handle timer_ = 0;
+  core::TimerWheel::Handle timer_ = 0;  ///< limits the capabilities exchange, then runs the watchdog
 };
 
 }  // namespace amberknot::diameter
--- a/src/diameter/results.hpp
+++ b/src/diameter/results.hpp
@@ -1,4 +1,4 @@
-// The one table between Result-Codes and the module's outcomes.
+// Mapping of Result-Codes to the outcomes that the decision module is told.
 #pragma once
 
 #include <array>
@@ -8,18 +8,19 @@
 
 namespace amberknot::diameter {
 
+/// A range of Result-Codes and the outcome that they stand for.
 struct ResultMeaning {
-  std::uint32_t from, to;  ///< both included
+  std::uint32_t first, last;  ///< both included
   Outcome outcome;
-  bool of_the_user;  ///< the subscriber's fault, not the server's
+  bool is_user_error;  ///< the subscriber caused the failure, not the server
 };
 
-/// The first row that holds the code counts. 2xxx: the session stands.
+/// The first row whose range holds the code applies. 2xxx means that the session is established.
 inline constexpr std::array kResultMeanings = {
     ResultMeaning{2000, 2999, Outcome::kOk, false},
-    ResultMeaning{3002, 3002, Outcome::kNotSent, false},  // unable to deliver: it never ran
+    ResultMeaning{3002, 3002, Outcome::kNotSent, false},  // unable to deliver: the request was not processed
     ResultMeaning{3004, 3004, Outcome::kFull, false},     // too busy
-    ResultMeaning{3006, 3006, Outcome::kNotSent, false},  // redirected: it never ran here
+    ResultMeaning{3006, 3006, Outcome::kNotSent, false},  // redirected: the request was not processed here
     ResultMeaning{3010, 3010, Outcome::kNotSent, false},  // unknown peer
     ResultMeaning{4002, 4002, Outcome::kFull, false},     // out of space
     ResultMeaning{4010, 4012, Outcome::kError, true},     // service denied, not applicable, credit limit
@@ -28,9 +29,10 @@
     ResultMeaning{0, 0xffffffff, Outcome::kError, false},
 };
 
-constexpr ResultMeaning meaning_of(std::uint32_t result) {
+/// Returns the row for a Result-Code; a code outside of all other ranges is an error of the server.
+constexpr ResultMeaning find_meaning(std::uint32_t result) {
   for (const auto& row : kResultMeanings) {
-    if (result >= row.from && result <= row.to) return row;
+    if (result >= row.first && result <= row.last) return row;
   }
   return kResultMeanings.back();
 }
--- a/tests/diameter_test.cpp
+++ b/tests/diameter_test.cpp
@@ -17,13 +17,13 @@
       : End(loop), host(std::move(host)), state(state), client(client) {}
 
   Writer& origin(Writer& writer) const {
-    return writer.add(Code::kOriginHost, host).add(Code::kOriginRealm, "acme");
+    return writer.add(AvpCode::kOriginHost, host).add(AvpCode::kOriginRealm, "acme");
   }
   Writer& capabilities(Writer& writer) const {
-    origin(writer).add_address(Code::kHostIpAddress, "127.0.0.1").add(Code::kVendorId, 0U);
-    return writer.add(Code::kProductName, "stand-in")
-        .add(Code::kOriginStateId, state)
-        .add(Code::kAuthApplicationId, kCcApp);
+    origin(writer).add_address(AvpCode::kHostIpAddress, "127.0.0.1").add(AvpCode::kVendorId, 0U);
+    return writer.add(AvpCode::kProductName, "stand-in")
+        .add(AvpCode::kOriginStateId, state)
+        .add(AvpCode::kAuthApplicationId, kCcApp);
   }
   Writer request(Command command, std::uint32_t application) {
     ++next_id;
@@ -39,12 +39,12 @@
     std::size_t taken = 0;
     while (taken < bytes.size()) {
       const auto read = read_message({bytes.data() + taken, bytes.size() - taken}, net::kMaxMessage);
-      if (read.state != Read::State::kWhole) break;
-      CHECK(read.fault.result == Result::kSuccess);  // the router writes nothing malformed
-      if (read.message.request && read.message.is(Command::kCapabilitiesExchange)) {
-        auto cea = Writer::answer(read.message, Result::kSuccess);
+      if (read.state != ReadResult::State::kComplete) break;
+      CHECK(read.fault.result == ResultCode::kSuccess);  // the router writes nothing malformed
+      if (read.message.is_request && read.message.has_command(Command::kCapabilitiesExchange)) {
+        auto cea = Writer::answer(read.message, ResultCode::kSuccess);
         say(capabilities(cea));
-      } else if (read.message.request && read.message.is(Command::kWatchdog)) {
+      } else if (read.message.is_request && read.message.has_command(Command::kWatchdog)) {
         ++watchdogs;
         if (answers_watchdogs) answer_watchdog(read.message);
       } else {
@@ -55,8 +55,8 @@
     return taken;
   }
   void answer_watchdog(const Message& dwr) {
-    auto dwa = Writer::answer(dwr, Result::kSuccess);
-    say(origin(dwa).add(Code::kOriginStateId, state));
+    auto dwa = Writer::answer(dwr, ResultCode::kSuccess);
+    say(origin(dwa).add(AvpCode::kOriginStateId, state));
   }
 
   /// What came, of that command and kind; of a CCR or CCA also of that type, and of that session where named.
@@ -64,8 +64,8 @@
     std::vector<Message> found;
     for (const auto& raw : got) {
       const auto read = read_message(raw, net::kMaxMessage);
-      const auto of_type = read.message.number(Code::kCcRequestType);
-      if (read.message.is(command) && read.message.request == request &&
+      const auto of_type = read.message.number(AvpCode::kCcRequestType);
+      if (read.message.has_command(command) && read.message.is_request == request &&
           (!type || of_type == static_cast<std::uint32_t>(*type))) {
         found.push_back(read.message);
       }
@@ -81,23 +81,25 @@
 
   Writer credit(const std::string& session, RequestType type) {
     auto ccr = request(Command::kCreditControl, kCcApp);
-    origin(ccr.add(Code::kSessionId, session)).add(Code::kDestinationRealm, "kartu.example");
-    ccr.add(Code::kAuthApplicationId, kCcApp).add(Code::kServiceContextId, "voice@kartu.example");
-    ccr.add(Code::kCcRequestType, static_cast<std::uint32_t>(type)).add(Code::kCcRequestNumber, 0U);
+    origin(ccr.add(AvpCode::kSessionId, session)).add(AvpCode::kDestinationRealm, "kartu.example");
+    ccr.add(AvpCode::kAuthApplicationId, kCcApp).add(AvpCode::kServiceContextId, "voice@kartu.example");
+    ccr.add(AvpCode::kCcRequestType, static_cast<std::uint32_t>(type)).add(AvpCode::kCcRequestNumber, 0U);
     return ccr;
   }
   void open(const std::string& session, const std::string& wait = "2000") {
     auto ccr = credit(session, RequestType::kInitial);
-    ccr.add_group(Code::kSubscriptionId, [](Writer& in) {
-      in.add(Code::kSubscriptionIdType, 4U).add(Code::kSubscriptionIdData, "77aa");
+    ccr.add_group(AvpCode::kSubscriptionId, [](Writer& in) {
+      in.add(AvpCode::kSubscriptionIdType, 4U).add(AvpCode::kSubscriptionIdData, "77aa");
     });
-    say(ccr.add_parameter(Parameter::kDescription, "desc").add_parameter(Parameter::kWaitMs, wait));
+    say(ccr.add_parameter(ServiceParameter::kDescription, "desc")
+            .add_parameter(ServiceParameter::kWaitMs, wait));
   }
-  void answer(const Message& ccr, Result result, const std::string& text = "sdp") {
+  void answer(const Message& ccr, ResultCode result, const std::string& text = "sdp") {
     auto cca = Writer::answer(ccr, result);
-    origin(cca).add(Code::kAuthApplicationId, kCcApp);
-    cca.add_raw(ccr.find(Code::kCcRequestType)->whole).add_raw(ccr.find(Code::kCcRequestNumber)->whole);
-    say(cca.add_parameter(Parameter::kDescription, text));
+    origin(cca).add(AvpCode::kAuthApplicationId, kCcApp);
+    cca.add_raw(ccr.find(AvpCode::kCcRequestType)->encoded)
+        .add_raw(ccr.find(AvpCode::kCcRequestNumber)->encoded);
+    say(cca.add_parameter(ServiceParameter::kDescription, text));
   }
 
   std::string host;
@@ -137,7 +139,7 @@
   void wait_ready() {
     open("00000000000000f0");
     until([&] { return !peer().initials().empty(); });
-    peer().answer(peer().initials()[0], Result::kSuccess);
+    peer().answer(peer().initials()[0], ResultCode::kSuccess);
     until([&] { return caller->has("\"ready\",\"sid\":\"00000000000000f0"); });
     say("{\"msg\":\"close\",\"sid\":\"00000000000000f0\",\"attrs\":{},\"code\":16}\n");
     until([&] { return peer().terminations().size() == 1; });
@@ -156,7 +158,7 @@
     const auto had = peer().initials().size();
     open(sid);
     until([&] { return peer().initials().size() > had; });
-    peer().answer(peer().initials()[had], Result::kSuccess);
+    peer().answer(peer().initials()[had], ResultCode::kSuccess);
     until([&] { return caller->has("\"ready\",\"sid\":\"" + sid); });
   }
   std::uint32_t state = 1;
@@ -167,13 +169,14 @@
 const std::string kB = "00000000000000b2";
 
 std::uint32_t result_of(const Message& message) {
-  return message.number(Code::kResultCode).value_or(0);
+  return message.number(AvpCode::kResultCode).value_or(0);
 }
 
 }  // namespace
 
 TEST_CASE("Diameter: messages are read, and faults are named as the RFC does") {
-  auto good = Writer::request(Command::kCreditControl, kCcApp, 1, 2).add(Code::kSessionId, "abcde").finish();
+  auto good =
+      Writer::request(Command::kCreditControl, kCcApp, 1, 2).add(AvpCode::kSessionId, "abcde").finish();
   const auto with = [&](std::size_t at, std::string_view bytes) {
     return std::string(good).replace(at, bytes.size(), bytes);
   };
@@ -181,22 +184,28 @@
   struct Case {
     const char* what;
     std::string bytes;
-    Read::State state;
-    Result result;
+    ReadResult::State state;
+    ResultCode result;
   };
   const Case cases[] = {
-      {"whole", good, Read::State::kWhole, Result::kSuccess},
-      {"cut", good.substr(0, good.size() - 1), Read::State::kMore, Result::kSuccess},
-      {"version", with(0, "\2"sv), Read::State::kWhole, Result::kUnsupportedVersion},
-      {"length 21", with(1, "\0\0\x15"sv), Read::State::kWhole, Result::kInvalidMessageLength},
-      {"over-long", with(1, "\xff\0\0"sv), Read::State::kBad, Result::kSuccess},
-      {"error bit in a request", with(4, "\xe0"sv), Read::State::kWhole, Result::kInvalidHeaderBits},
-      {"reserved AVP bit", with(24, "\x41"sv), Read::State::kWhole, Result::kInvalidAvpBits},
-      {"unknown mandatory AVP", with(20, "\0\0\x7f\0"sv), Read::State::kWhole, Result::kAvpUnsupported},
-      {"AVP past the end", with(25, "\0\0\xff"sv), Read::State::kWhole, Result::kInvalidAvpLength},
-      {"AVP shorter than its header", with(25, "\0\0\4"sv), Read::State::kWhole, Result::kInvalidAvpLength},
-      {"number of five bytes", with(20, "\0\0\1\x0c"sv), Read::State::kWhole, Result::kInvalidAvpLength},
-      {"malformed group", with(20, "\0\0\1\xbb"sv), Read::State::kWhole, Result::kInvalidAvpLength},
+      {"whole", good, ReadResult::State::kComplete, ResultCode::kSuccess},
+      {"cut", good.substr(0, good.size() - 1), ReadResult::State::kIncomplete, ResultCode::kSuccess},
+      {"version", with(0, "\2"sv), ReadResult::State::kComplete, ResultCode::kUnsupportedVersion},
+      {"length 21", with(1, "\0\0\x15"sv), ReadResult::State::kComplete, ResultCode::kInvalidMessageLength},
+      {"over-long", with(1, "\xff\0\0"sv), ReadResult::State::kTooLong, ResultCode::kSuccess},
+      {"error bit in a request", with(4, "\xe0"sv), ReadResult::State::kComplete,
+       ResultCode::kInvalidHeaderBits},
+      {"reserved AVP bit", with(24, "\x41"sv), ReadResult::State::kComplete, ResultCode::kInvalidAvpBits},
+      {"unknown mandatory AVP", with(20, "\0\0\x7f\0"sv), ReadResult::State::kComplete,
+       ResultCode::kAvpUnsupported},
+      {"AVP past the end", with(25, "\0\0\xff"sv), ReadResult::State::kComplete,
+       ResultCode::kInvalidAvpLength},
+      {"AVP shorter than its header", with(25, "\0\0\4"sv), ReadResult::State::kComplete,
+       ResultCode::kInvalidAvpLength},
+      {"number of five bytes", with(20, "\0\0\1\x0c"sv), ReadResult::State::kComplete,
+       ResultCode::kInvalidAvpLength},
+      {"malformed group", with(20, "\0\0\1\xbb"sv), ReadResult::State::kComplete,
+       ResultCode::kInvalidAvpLength},
   };
   for (const auto& one : cases) {
     CAPTURE(one.what);
@@ -210,7 +219,7 @@
   struct Case {
     std::uint32_t code;
     Outcome outcome;
-    bool of_the_user;
+    bool is_user_error;
   };
   const Case cases[] = {
       {2001, Outcome::kOk, false},    {2002, Outcome::kOk, false},    {3002, Outcome::kNotSent, false},
@@ -218,8 +227,8 @@
       {5012, Outcome::kError, false}, {5030, Outcome::kError, true},  {0, Outcome::kError, false}};
   for (const auto& one : cases) {
     CAPTURE(one.code);
-    CHECK(meaning_of(one.code).outcome == one.outcome);
-    CHECK(meaning_of(one.code).of_the_user == one.of_the_user);
+    CHECK(find_meaning(one.code).outcome == one.outcome);
+    CHECK(find_meaning(one.code).is_user_error == one.is_user_error);
   }
 }
 
@@ -229,16 +238,16 @@
   till.open("till;1");
   bench.until([&] { return bench.peer().initials().size() == 1; });
   const auto ccr = bench.peer().initials()[0];
-  CHECK(ccr.parameter(Parameter::kDescription) == "desc");
-  CHECK(ccr.text(Code::kServiceContextId) == "voice@kartu.example");
-  bench.peer().answer(ccr, Result::kSuccess, "a\r\nb");
+  CHECK(ccr.parameter(ServiceParameter::kDescription) == "desc");
+  CHECK(ccr.text(AvpCode::kServiceContextId) == "voice@kartu.example");
+  bench.peer().answer(ccr, ResultCode::kSuccess, "a\r\nb");
   bench.until([&] { return till.answers().size() == 1; });
   CHECK(result_of(till.answers()[0]) == 2001);
-  CHECK(till.answers()[0].text(Code::kSessionId) == "till;1");
-  CHECK(till.answers()[0].parameter(Parameter::kDescription) == "a\r\nb");
+  CHECK(till.answers()[0].text(AvpCode::kSessionId) == "till;1");
+  CHECK(till.answers()[0].parameter(ServiceParameter::kDescription) == "a\r\nb");
 
   auto asr = bench.peer().request(Command::kAbortSession, kCcApp);
-  bench.peer().origin(asr.add(Code::kSessionId, ccr.text(Code::kSessionId)));
+  bench.peer().origin(asr.add(AvpCode::kSessionId, ccr.text(AvpCode::kSessionId)));
   const auto raw = asr.finish();
   bench.peer().stream->send(std::string(raw));
   bench.peer().stream->send(std::string(raw));
@@ -269,7 +278,7 @@
   const auto sid = end.in.substr(at, 16);
   bench.answer(end, sid, "sdp");
   bench.until([&] { return till.answers().size() == 1; });
-  CHECK(till.answers()[0].parameter(Parameter::kDescription) == "sdp");
+  CHECK(till.answers()[0].parameter(ServiceParameter::kDescription) == "sdp");
   till.say(till.credit("till;1", RequestType::kUpdate));
   till.say(till.credit("till;1", RequestType::kTermination));
   bench.until([&] { return till.answers().size() == 3; });
@@ -286,7 +295,7 @@
     bench.until([&] { return till.answers().size() == 1; });
     CHECK(result_of(till.answers()[0]) == 3004);
     const auto had = bench.peer().terminations().size();
-    bench.peer().answer(bench.peer().initials()[0], Result::kSuccess);
+    bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
     bench.until([&] { return bench.peer().terminations().size() > had; });
   }
   SUBCASE("the client ends the session before its answer") {
@@ -296,22 +305,22 @@
     bench.until([&] { return till.answers().size() == 2; });
     CHECK(result_of(till.answers()[0]) == 5012);
     CHECK(result_of(till.answers()[1]) == 2001);
-    bench.peer().answer(bench.peer().initials()[0], Result::kSuccess);
+    bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
   }
   SUBCASE("the request comes twice") {
     till.open("till;1");
     till.open("till;1");
     bench.until([&] { return bench.peer().initials().size() == 1; });
-    bench.peer().answer(bench.peer().initials()[0], Result::kSuccess);
+    bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
     bench.until([&] { return till.answers().size() == 1; });
   }
   SUBCASE("every server refuses") {
     till.open("till;1", "300");
     bench.until([&] { return bench.peer().initials().size() == 1; });
-    bench.peer().answer(bench.peer().initials()[0], Result::kTooBusy);
+    bench.peer().answer(bench.peer().initials()[0], ResultCode::kTooBusy);
     bench.until([&] { return !till.answers().empty(); });
     CHECK(result_of(till.answers()[0]) == 3004);
-    CHECK(till.answers()[0].error);
+    CHECK(till.answers()[0].is_error);
   }
   bench.settle();
   const auto answers = till.all(Command::kCreditControl, false, RequestType::kInitial);
@@ -335,7 +344,7 @@
     if (Loop::now() - said < milliseconds{20}) return;
     said = Loop::now();
     auto other = bench.peer().request(Command::kAbortSession, kCcApp);
-    bench.peer().say(bench.peer().origin(other.add(Code::kSessionId, "none")));
+    bench.peer().say(bench.peer().origin(other.add(AvpCode::kSessionId, "none")));
   };
   /// True: a call opened now reaches the peer, and stands; false: its caller is told no.
   int calls = 0;
@@ -348,7 +357,7 @@
       chatter();
       return reached() || bench.caller->has("\"close\",\"sid\":\"" + sid);
     });
-    if (reached()) bench.peer().answer(bench.peer().initials()[had], Result::kSuccess);
+    if (reached()) bench.peer().answer(bench.peer().initials()[had], ResultCode::kSuccess);
     return reached();
   };
   CHECK(reaches());
@@ -361,7 +370,7 @@
   });
   CHECK_FALSE(reaches());
   if (one_out) {
-    bench.peer().answer(bench.peer().initials()[0], Result::kSuccess);
+    bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
     bench.until([&] {
       chatter();
       return bench.caller->has("\"ready\",\"sid\":\"" + kA);
@@ -405,7 +414,7 @@
   bench.stand(kA);
   SUBCASE("DPR") {
     auto dpr = bench.peer().request(Command::kDisconnect, 0);
-    bench.peer().say(bench.peer().origin(dpr).add(Code::kDisconnectCause, 0U));
+    bench.peer().say(bench.peer().origin(dpr).add(AvpCode::kDisconnectCause, 0U));
     bench.until([&] { return bench.peer().all(Command::kDisconnect, false).size() == 1; });
     CHECK(result_of(bench.peer().all(Command::kDisconnect, false)[0]) == 2001);
   }
@@ -424,15 +433,15 @@
   DiameterBench bench(setup(true, true), true);
   bench.till->open("till;1");
   bench.until([&] { return bench.peer().initials().size() == 1; });
-  bench.peer().answer(bench.peer().initials()[0], Result::kSuccess);
+  bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
   bench.until([&] { return bench.router->table().established() == 1; });
   bench.till->stream->close();
   SUBCASE("as the same process: the session stands, and its end waits for the connection") {
     bench.settle();
     CHECK(bench.router->table().established() == 1);
     auto asr = bench.peer().request(Command::kAbortSession, kCcApp);
-    bench.peer().say(
-        bench.peer().origin(asr.add(Code::kSessionId, bench.peer().initials()[0].text(Code::kSessionId))));
+    bench.peer().say(bench.peer().origin(
+        asr.add(AvpCode::kSessionId, bench.peer().initials()[0].text(AvpCode::kSessionId))));
     bench.until([&] { return bench.router->table().established() == 0; });
     bench.till = bench.client_peer("till.acme");
     bench.until([&] { return bench.till->aborts().size() == 1; });
@@ -493,8 +502,8 @@
   CHECK_FALSE(is_late);
   bench.until([&] { return till.answers().size() == kRequests; });
   for (const auto& answer : till.answers()) {
-    CHECK(result_of(answer) == 3004);                    // DIAMETER_TOO_BUSY, for want of a word of its own
-    CHECK(answer.find(Code::kErrorMessage) != nullptr);  // when to come back
+    CHECK(result_of(answer) == 3004);  // DIAMETER_TOO_BUSY, for want of a word of its own
+    CHECK(answer.find(AvpCode::kErrorMessage) != nullptr);  // when to come back
   }
 }
 
@@ -523,7 +532,7 @@
       {"another application",
        [&] {
          auto ccr = till.request(Command::kCreditControl, 16777238);
-         return till.origin(ccr.add(Code::kSessionId, "till;9"));
+         return till.origin(ccr.add(AvpCode::kSessionId, "till;9"));
        },
        3007, 0},
   };
@@ -534,7 +543,7 @@
     bench.until([&] { return till.answers().size() == answers + 1; });
     const auto answer = till.answers()[answers++];
     CHECK(result_of(answer) == one.result);
-    const auto* failed = answer.find(Code::kFailedAvp);
+    const auto* failed = answer.find(AvpCode::kFailedAvp);
     CHECK((failed != nullptr) == (one.failed != 0));
     if (failed == nullptr) continue;
     const auto group = read_group(failed->data);
--- a/tests/wire_format_diameter.hpp
+++ b/tests/wire_format_diameter.hpp
@@ -19,7 +19,7 @@
 
 inline diameter::Message read_whole(const std::string& bytes) {
   const auto read = diameter::read_message(bytes, net::kMaxMessage);
-  REQUIRE(read.state == diameter::Read::State::kWhole);
+  REQUIRE(read.state == diameter::ReadResult::State::kComplete);
   return read.message;
 }
 
--- a/tests/wire_format_diameter_client_test.cpp
+++ b/tests/wire_format_diameter_client_test.cpp
@@ -4,11 +4,11 @@
 namespace amberknot::tests {
 namespace {
 
-using diameter::Code;
+using diameter::AvpCode;
 using diameter::Command;
-using diameter::Parameter;
 using diameter::RequestType;
-using diameter::Result;
+using diameter::ResultCode;
+using diameter::ServiceParameter;
 using diameter::Writer;
 
 constexpr std::uint32_t kHopByHop = 0xaabbccdd;
@@ -30,29 +30,32 @@
   /// Sends a capabilities exchange request; the answer.
   std::string exchange(const std::string& host, const std::string& realm, std::uint32_t application) {
     auto cer = Writer::request(Command::kCapabilitiesExchange, 0, kHopByHop, kEndToEnd);
-    cer.add(Code::kOriginHost, host);
-    if (!realm.empty()) cer.add(Code::kOriginRealm, realm);
-    send(cer.add(Code::kAuthApplicationId, application));
+    cer.add(AvpCode::kOriginHost, host);
+    if (!realm.empty()) cer.add(AvpCode::kOriginRealm, realm);
+    send(cer.add(AvpCode::kAuthApplicationId, application));
     return next_text();
   }
   void exchange() { exchange("till.acme", "acme", diameter::kCreditControlApplication); }
   static Writer credit(RequestType type, const std::string& context = "voice@kartu.example") {
     auto ccr =
         Writer::request(Command::kCreditControl, diameter::kCreditControlApplication, kHopByHop, kEndToEnd);
-    ccr.add(Code::kSessionId, "till;1").add(Code::kOriginHost, "till.acme").add(Code::kOriginRealm, "acme");
-    ccr.add(Code::kDestinationRealm, "kartu.example");
-    ccr.add(Code::kAuthApplicationId, diameter::kCreditControlApplication);
-    if (!context.empty()) ccr.add(Code::kServiceContextId, context);
-    ccr.add(Code::kCcRequestType, static_cast<std::uint32_t>(type)).add(Code::kCcRequestNumber, 7U);
+    ccr.add(AvpCode::kSessionId, "till;1")
+        .add(AvpCode::kOriginHost, "till.acme")
+        .add(AvpCode::kOriginRealm, "acme");
+    ccr.add(AvpCode::kDestinationRealm, "kartu.example");
+    ccr.add(AvpCode::kAuthApplicationId, diameter::kCreditControlApplication);
+    if (!context.empty()) ccr.add(AvpCode::kServiceContextId, context);
+    ccr.add(AvpCode::kCcRequestType, static_cast<std::uint32_t>(type)).add(AvpCode::kCcRequestNumber, 7U);
     return ccr;
   }
   void set_up(const std::string& wait_ms) {
     auto ccr = credit(RequestType::kInitial);
-    ccr.add_group(Code::kProxyInfo, [](Writer& group) { group.add(Code::kOriginHost, "proxy.acme"); });
-    ccr.add_group(Code::kSubscriptionId, [](Writer& group) {
-      group.add(Code::kSubscriptionIdType, 4U).add(Code::kSubscriptionIdData, "77aa");
+    ccr.add_group(AvpCode::kProxyInfo, [](Writer& group) { group.add(AvpCode::kOriginHost, "proxy.acme"); });
+    ccr.add_group(AvpCode::kSubscriptionId, [](Writer& group) {
+      group.add(AvpCode::kSubscriptionIdType, 4U).add(AvpCode::kSubscriptionIdData, "77aa");
     });
-    send(ccr.add_parameter(Parameter::kDescription, "desc").add_parameter(Parameter::kWaitMs, wait_ms));
+    send(ccr.add_parameter(ServiceParameter::kDescription, "desc")
+             .add_parameter(ServiceParameter::kWaitMs, wait_ms));
   }
   /// The Call-ID by which the server knows the client's first call.
   std::string call_id() const {
--- a/tests/wire_format_diameter_server_test.cpp
+++ b/tests/wire_format_diameter_server_test.cpp
@@ -4,10 +4,10 @@
 namespace amberknot::tests {
 namespace {
 
-using diameter::Code;
+using diameter::AvpCode;
 using diameter::Command;
-using diameter::Parameter;
-using diameter::Result;
+using diameter::ResultCode;
+using diameter::ServiceParameter;
 using diameter::Writer;
 
 const std::string kCallId = "9b1f03aa5c7e2d41";
@@ -26,8 +26,8 @@
     until([&] { return !server.ends.empty(); });
     capabilities_request = next();
     cer_text = text.of(capabilities_request);
-    auto cea = Writer::answer(read_whole(capabilities_request), Result::kSuccess);
-    send(cea.add(Code::kOriginHost, "s1.acme").add(Code::kOriginRealm, "acme"));
+    auto cea = Writer::answer(read_whole(capabilities_request), ResultCode::kSuccess);
+    send(cea.add(AvpCode::kOriginHost, "s1.acme").add(AvpCode::kOriginRealm, "acme"));
   }
   End& peer() { return *server.ends.back(); }
   std::string next() { return next_message(*this, peer()); }
@@ -39,8 +39,8 @@
     return next();
   }
   void accept(const std::string& request) {
-    auto cca = Writer::answer(read_whole(request), Result::kSuccess);
-    send(cca.add(Code::kOriginHost, "s1.acme").add_parameter(Parameter::kDescription, "sdp"));
+    auto cca = Writer::answer(read_whole(request), ResultCode::kSuccess);
+    send(cca.add(AvpCode::kOriginHost, "s1.acme").add_parameter(ServiceParameter::kDescription, "sdp"));
     until([&] { return caller->has("\"ready\""); });
   }
   void release() { say("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":16}\n"); }
@@ -153,7 +153,7 @@
   const auto ccr = bench.initial_request();
   bench.accept(ccr);
   auto dwr = bench.request(Command::kWatchdog, 0);
-  bench.send(dwr.add(Code::kOriginHost, "s1.acme").add(Code::kOriginRealm, "acme"));
+  bench.send(dwr.add(AvpCode::kOriginHost, "s1.acme").add(AvpCode::kOriginRealm, "acme"));
   CHECK(bench.next_text() ==
         "0100005c0000011800000000aabbccdd11223344\n"          // header
         "0000010c4000000c000007d1\n"                          // Result-Code
@@ -162,7 +162,7 @@
         "000001164000000c00000000"                            // Origin-State-Id
   );
   auto unknown = bench.request(Command::kAbortSession, 4);
-  bench.send(unknown.add(Code::kSessionId, "none;1"));
+  bench.send(unknown.add(AvpCode::kSessionId, "none;1"));
   CHECK(bench.next_text() ==
         "010000604000011200000004aabbccdd11223344\n"          // header
         "000001074000000e6e6f6e653b310000\n"                  // Session-Id
@@ -171,7 +171,7 @@
         "00000128400000156b617274752e6578616d706c65000000"    // Origin-Realm
   );
   auto asr = bench.request(Command::kAbortSession, 4);
-  bench.send(asr.add(Code::kSessionId, read_whole(ccr).text(Code::kSessionId)));
+  bench.send(asr.add(AvpCode::kSessionId, read_whole(ccr).text(AvpCode::kSessionId)));
   CHECK(bench.next_text() ==
         "010000884000011200000004aabbccdd11223344\n"  // header
         "00000107400000386e302e6b617274752e6578616d706c653b303030303030303030303b303b303b39623166303361613563"
@@ -182,7 +182,7 @@
   );
   bench.next();  // the termination of what was aborted
   auto dpr = bench.request(Command::kDisconnect, 0);
-  bench.send(dpr.add(Code::kDisconnectCause, 0U));
+  bench.send(dpr.add(AvpCode::kDisconnectCause, 0U));
   CHECK(bench.next_text() ==
         "010000500000011a00000000aabbccdd11223344\n"          // header
         "0000010c4000000c000007d1\n"                          // Result-Code
@@ -203,7 +203,7 @@
         "00000128400000156b617274752e6578616d706c65000000"    // Origin-Realm
   );
   auto short_number = bench.request(Command::kWatchdog, 0);
-  bench.send(short_number.add(Code::kOriginStateId, std::string_view("abc")));
+  bench.send(short_number.add(AvpCode::kOriginStateId, std::string_view("abc")));
   CHECK(bench.next_text() ==
         "010000640000011800000000aabbccdd11223344\n"          // header
         "0000010c4000000c00001396\n"                          // Result-Code
