--- a/tests/diameter_test.cpp
+++ b/tests/diameter_test.cpp
@@ -1,4 +1,5 @@
-// The Diameter front and links against stand-in peers on loopback.
+// Tests of the Diameter codec, frontend and connection pool. The frontend and the pool run in a whole router,
+// against test peers on loopback.
 #include "diameter/codec.hpp"
 #include "diameter/results.hpp"
 #include "net_bench.hpp"
@@ -9,164 +10,172 @@
 
 namespace {
 
-constexpr std::uint32_t kCcApp = kCreditControlApplication;
+constexpr std::uint32_t kCreditControl = kCreditControlApplication;
 
-/// A stand-in peer's end: exchanges capabilities and answers watchdogs by itself, keeps all else.
-struct DiameterEnd : End {
-  DiameterEnd(Loop& loop, std::string host, std::uint32_t state = 1, bool client = false)
-      : End(loop), host(std::move(host)), state(state), client(client) {}
+/// The connection of a test peer, which is a client or a server. It exchanges capabilities and answers
+/// watchdog requests by itself and stores all other messages.
+struct DiameterTestPeer : End {
+  DiameterTestPeer(Loop& loop, std::string host, std::uint32_t state_id = 1, bool is_client = false)
+      : End(loop), host(std::move(host)), state_id(state_id), is_client(is_client) {}
 
-  Writer& origin(Writer& writer) const {
+  Writer& add_origin(Writer& writer) const {
     return writer.add(AvpCode::kOriginHost, host).add(AvpCode::kOriginRealm, "acme");
   }
-  Writer& capabilities(Writer& writer) const {
-    origin(writer).add_address(AvpCode::kHostIpAddress, "127.0.0.1").add(AvpCode::kVendorId, 0U);
+  Writer& add_capabilities(Writer& writer) const {
+    add_origin(writer).add_address(AvpCode::kHostIpAddress, "127.0.0.1").add(AvpCode::kVendorId, 0U);
     return writer.add(AvpCode::kProductName, "stand-in")
-        .add(AvpCode::kOriginStateId, state)
-        .add(AvpCode::kAuthApplicationId, kCcApp);
+        .add(AvpCode::kOriginStateId, state_id)
+        .add(AvpCode::kAuthApplicationId, kCreditControl);
   }
   Writer request(Command command, std::uint32_t application) {
     ++next_id;
     return Writer::request(command, application, next_id, next_id);
   }
-  void say(Writer writer) { stream->send(writer.finish()); }
+  void send_message(Writer writer) { stream->send(writer.finish()); }
   void on_open(net::TcpConnection& /*stream*/) override {
-    if (!client) return;
+    if (!is_client) return;
     auto cer = request(Command::kCapabilitiesExchange, 0);
-    say(capabilities(cer));
+    send_message(add_capabilities(cer));
   }
   std::size_t on_bytes(net::TcpConnection& /*stream*/, std::span<char> bytes) override {
-    std::size_t taken = 0;
-    while (taken < bytes.size()) {
-      const auto read = read_message({bytes.data() + taken, bytes.size() - taken}, net::kMaxMessage);
+    std::size_t consumed = 0;
+    while (consumed < bytes.size()) {
+      const auto read = read_message({bytes.data() + consumed, bytes.size() - consumed}, net::kMaxMessage);
       if (read.state != ReadResult::State::kComplete) break;
-      CHECK(read.fault.result == ResultCode::kSuccess);  // the router writes nothing malformed
+      CHECK(read.fault.result == ResultCode::kSuccess);  // the router must not write malformed messages
       if (read.message.is_request && read.message.has_command(Command::kCapabilitiesExchange)) {
         auto cea = Writer::answer(read.message, ResultCode::kSuccess);
-        say(capabilities(cea));
+        send_message(add_capabilities(cea));
       } else if (read.message.is_request && read.message.has_command(Command::kWatchdog)) {
-        ++watchdogs;
+        ++watchdog_requests;
         if (answers_watchdogs) answer_watchdog(read.message);
       } else {
-        got.emplace_back(bytes.data() + taken, read.size);
+        received_messages.emplace_back(bytes.data() + consumed, read.size);
       }
-      taken += read.size;
+      consumed += read.size;
     }
-    return taken;
+    return consumed;
   }
   void answer_watchdog(const Message& dwr) {
     auto dwa = Writer::answer(dwr, ResultCode::kSuccess);
-    say(origin(dwa).add(AvpCode::kOriginStateId, state));
+    send_message(add_origin(dwa).add(AvpCode::kOriginStateId, state_id));
   }
 
-  /// What came, of that command and kind; of a CCR or CCA also of that type, and of that session where named.
-  std::vector<Message> all(Command command, bool request, std::optional<RequestType> type = {}) const {
+  /// Returns the stored requests or answers of a command. With `type`, only those of that CC-Request-Type.
+  std::vector<Message> find_messages(Command command, bool is_request,
+                                     std::optional<RequestType> type = {}) const {
     std::vector<Message> found;
-    for (const auto& raw : got) {
+    for (const auto& raw : received_messages) {
       const auto read = read_message(raw, net::kMaxMessage);
       const auto of_type = read.message.number(AvpCode::kCcRequestType);
-      if (read.message.has_command(command) && read.message.is_request == request &&
+      if (read.message.has_command(command) && read.message.is_request == is_request &&
           (!type || of_type == static_cast<std::uint32_t>(*type))) {
         found.push_back(read.message);
       }
     }
     return found;
   }
-  std::vector<Message> initials() const { return all(Command::kCreditControl, true, RequestType::kInitial); }
-  std::vector<Message> terminations() const {
-    return all(Command::kCreditControl, true, RequestType::kTermination);
+  std::vector<Message> initial_requests() const {
+    return find_messages(Command::kCreditControl, true, RequestType::kInitial);
   }
-  std::vector<Message> answers() const { return all(Command::kCreditControl, false); }
-  std::vector<Message> aborts() const { return all(Command::kAbortSession, true); }
+  std::vector<Message> termination_requests() const {
+    return find_messages(Command::kCreditControl, true, RequestType::kTermination);
+  }
+  std::vector<Message> answers() const { return find_messages(Command::kCreditControl, false); }
+  std::vector<Message> abort_requests() const { return find_messages(Command::kAbortSession, true); }
 
-  Writer credit(const std::string& session, RequestType type) {
-    auto ccr = request(Command::kCreditControl, kCcApp);
-    origin(ccr.add(AvpCode::kSessionId, session)).add(AvpCode::kDestinationRealm, "kartu.example");
-    ccr.add(AvpCode::kAuthApplicationId, kCcApp).add(AvpCode::kServiceContextId, "voice@kartu.example");
+  Writer credit_control_request(const std::string& session, RequestType type) {
+    auto ccr = request(Command::kCreditControl, kCreditControl);
+    add_origin(ccr.add(AvpCode::kSessionId, session)).add(AvpCode::kDestinationRealm, "kartu.example");
+    ccr.add(AvpCode::kAuthApplicationId, kCreditControl)
+        .add(AvpCode::kServiceContextId, "voice@kartu.example");
     ccr.add(AvpCode::kCcRequestType, static_cast<std::uint32_t>(type)).add(AvpCode::kCcRequestNumber, 0U);
     return ccr;
   }
-  void open(const std::string& session, const std::string& wait = "2000") {
-    auto ccr = credit(session, RequestType::kInitial);
-    ccr.add_group(AvpCode::kSubscriptionId, [](Writer& in) {
-      in.add(AvpCode::kSubscriptionIdType, 4U).add(AvpCode::kSubscriptionIdData, "77aa");
+  void send_initial_request(const std::string& session, const std::string& wait_ms = "2000") {
+    auto ccr = credit_control_request(session, RequestType::kInitial);
+    ccr.add_group(AvpCode::kSubscriptionId, [](Writer& group) {
+      group.add(AvpCode::kSubscriptionIdType, 4U).add(AvpCode::kSubscriptionIdData, "77aa");
     });
-    say(ccr.add_parameter(ServiceParameter::kDescription, "desc")
-            .add_parameter(ServiceParameter::kWaitMs, wait));
+    send_message(ccr.add_parameter(ServiceParameter::kDescription, "desc")
+                     .add_parameter(ServiceParameter::kWaitMs, wait_ms));
   }
-  void answer(const Message& ccr, ResultCode result, const std::string& text = "sdp") {
+  void send_answer(const Message& ccr, ResultCode result, const std::string& description = "sdp") {
     auto cca = Writer::answer(ccr, result);
-    origin(cca).add(AvpCode::kAuthApplicationId, kCcApp);
+    add_origin(cca).add(AvpCode::kAuthApplicationId, kCreditControl);
     cca.add_raw(ccr.find(AvpCode::kCcRequestType)->encoded)
         .add_raw(ccr.find(AvpCode::kCcRequestNumber)->encoded);
-    say(cca.add_parameter(ServiceParameter::kDescription, text));
+    send_message(cca.add_parameter(ServiceParameter::kDescription, description));
   }
 
   std::string host;
-  std::uint32_t state;
-  bool client;
+  std::uint32_t state_id;
+  bool is_client;
   bool answers_watchdogs = true;
-  int watchdogs = 0;
+  int watchdog_requests = 0;
   std::uint32_t next_id = 1;
-  std::vector<std::string> got;
+  std::vector<std::string> received_messages;
 };
 
-app::OperatorFile setup(bool servers, bool clients, milliseconds watchdog = std::chrono::seconds{30}) {
+app::OperatorFile operator_file(bool has_servers, bool has_clients,
+                                milliseconds watchdog = std::chrono::seconds{30}) {
   app::OperatorFile file;
   file.diameter.emplace();
   file.diameter->origin_host = "n0.kartu.example";
   file.diameter->origin_realm = "kartu.example";
-  if (servers) file.diameter->servers = {"*"};
-  if (clients) file.diameter->listen = asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0);
+  if (has_servers) file.diameter->servers = {"*"};
+  if (has_clients) file.diameter->listen = asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0);
   file.diameter->clients = {"till.acme"};
   file.diameter->watchdog = watchdog;
   return file;
 }
 
-struct DiameterBench : Bench {
-  explicit DiameterBench(const app::OperatorFile& file, bool client = false,
-                         const app::Config& base = bench_config())
+struct DiameterFixture : Bench {
+  explicit DiameterFixture(const app::OperatorFile& file, bool has_client = false,
+                           const app::Config& base = bench_config())
       : Bench(file, base) {
-    server.make = [this] { return std::make_unique<DiameterEnd>(loop, "s1.acme", state); };
+    server.make = [this] { return std::make_unique<DiameterTestPeer>(loop, "s1.acme", state_id); };
     list();
     if (!file.diameter->servers.empty()) {
-      until([&] { return !server.ends.empty() && peer().watchdogs + peer().state > 0; });
-      wait_ready();
+      until([&] { return !server.ends.empty() && peer().watchdog_requests + peer().state_id > 0; });
+      wait_until_peer_is_used();
     }
-    if (client) till = client_peer("till.acme");
+    if (has_client) client_end = connect_client("till.acme");
   }
-  /// The peer is up at the router once a call reaches it.
-  void wait_ready() {
+  /// Waits until the router uses the peer: sets up a call there and releases it.
+  void wait_until_peer_is_used() {
     open("00000000000000f0");
-    until([&] { return !peer().initials().empty(); });
-    peer().answer(peer().initials()[0], ResultCode::kSuccess);
+    until([&] { return !peer().initial_requests().empty(); });
+    peer().send_answer(peer().initial_requests()[0], ResultCode::kSuccess);
     until([&] { return caller->has("\"ready\",\"sid\":\"00000000000000f0"); });
     say("{\"msg\":\"close\",\"sid\":\"00000000000000f0\",\"attrs\":{},\"code\":16}\n");
-    until([&] { return peer().terminations().size() == 1; });
-    peer().got.clear();
+    until([&] { return peer().termination_requests().size() == 1; });
+    peer().received_messages.clear();
     caller->in.clear();
   }
-  std::unique_ptr<DiameterEnd> client_peer(const std::string& host, std::uint32_t with_state = 1) {
-    auto end = std::make_unique<DiameterEnd>(loop, host, with_state, true);
+  /// Connects a client and exchanges capabilities.
+  std::unique_ptr<DiameterTestPeer> connect_client(const std::string& host,
+                                                   std::uint32_t client_state_id = 1) {
+    auto end = std::make_unique<DiameterTestPeer>(loop, host, client_state_id, true);
     end->stream->connect(*router->diameter_at(), milliseconds{500});
-    until([&] { return !end->all(Command::kCapabilitiesExchange, false).empty(); });
+    until([&] { return !end->find_messages(Command::kCapabilitiesExchange, false).empty(); });
     return end;
   }
-  DiameterEnd& peer() { return static_cast<DiameterEnd&>(*server.ends.back()); }
-  /// A JSON line caller's call that stands at the peer.
-  void stand(const std::string& sid) {
-    const auto had = peer().initials().size();
+  DiameterTestPeer& peer() { return static_cast<DiameterTestPeer&>(*server.ends.back()); }
+  /// Establishes a call from the JSON lines caller at the peer.
+  void establish_call(const std::string& sid) {
+    const auto previous_count = peer().initial_requests().size();
     open(sid);
-    until([&] { return peer().initials().size() > had; });
-    peer().answer(peer().initials()[had], ResultCode::kSuccess);
+    until([&] { return peer().initial_requests().size() > previous_count; });
+    peer().send_answer(peer().initial_requests()[previous_count], ResultCode::kSuccess);
     until([&] { return caller->has("\"ready\",\"sid\":\"" + sid); });
   }
-  std::uint32_t state = 1;
-  std::unique_ptr<DiameterEnd> till;
+  std::uint32_t state_id = 1;
+  std::unique_ptr<DiameterTestPeer> client_end;
 };
 
-const std::string kA = "00000000000000a1";
-const std::string kB = "00000000000000b2";
+const std::string kCallA = "00000000000000a1";
+const std::string kCallB = "00000000000000b2";
 
 std::uint32_t result_of(const Message& message) {
   return message.number(AvpCode::kResultCode).value_or(0);
@@ -174,48 +183,52 @@
 
 }  // namespace
 
-TEST_CASE("Diameter: messages are read, and faults are named as the RFC does") {
-  auto good =
-      Writer::request(Command::kCreditControl, kCcApp, 1, 2).add(AvpCode::kSessionId, "abcde").finish();
-  const auto with = [&](std::size_t at, std::string_view bytes) {
+TEST_CASE("Diameter: the codec reads messages and reports faults with the RFC's Result-Codes") {
+  auto good = Writer::request(Command::kCreditControl, kCreditControl, 1, 2)
+                  .add(AvpCode::kSessionId, "abcde")
+                  .finish();
+  const auto with_bytes = [&](std::size_t at, std::string_view bytes) {
     return std::string(good).replace(at, bytes.size(), bytes);
   };
   using namespace std::string_view_literals;
   struct Case {
-    const char* what;
+    const char* name;
     std::string bytes;
     ReadResult::State state;
     ResultCode result;
   };
   const Case cases[] = {
-      {"whole", good, ReadResult::State::kComplete, ResultCode::kSuccess},
+      {"valid message", good, ReadResult::State::kComplete, ResultCode::kSuccess},
       {"cut", good.substr(0, good.size() - 1), ReadResult::State::kIncomplete, ResultCode::kSuccess},
-      {"version", with(0, "\2"sv), ReadResult::State::kComplete, ResultCode::kUnsupportedVersion},
-      {"length 21", with(1, "\0\0\x15"sv), ReadResult::State::kComplete, ResultCode::kInvalidMessageLength},
-      {"over-long", with(1, "\xff\0\0"sv), ReadResult::State::kTooLong, ResultCode::kSuccess},
-      {"error bit in a request", with(4, "\xe0"sv), ReadResult::State::kComplete,
+      {"version", with_bytes(0, "\2"sv), ReadResult::State::kComplete, ResultCode::kUnsupportedVersion},
+      {"length that is no multiple of four", with_bytes(1, "\0\0\x15"sv), ReadResult::State::kComplete,
+       ResultCode::kInvalidMessageLength},
+      {"message over the limit", with_bytes(1, "\xff\0\0"sv), ReadResult::State::kTooLong,
+       ResultCode::kSuccess},
+      {"error bit in a request", with_bytes(4, "\xe0"sv), ReadResult::State::kComplete,
        ResultCode::kInvalidHeaderBits},
-      {"reserved AVP bit", with(24, "\x41"sv), ReadResult::State::kComplete, ResultCode::kInvalidAvpBits},
-      {"unknown mandatory AVP", with(20, "\0\0\x7f\0"sv), ReadResult::State::kComplete,
+      {"reserved AVP bit", with_bytes(24, "\x41"sv), ReadResult::State::kComplete,
+       ResultCode::kInvalidAvpBits},
+      {"unknown mandatory AVP", with_bytes(20, "\0\0\x7f\0"sv), ReadResult::State::kComplete,
        ResultCode::kAvpUnsupported},
-      {"AVP past the end", with(25, "\0\0\xff"sv), ReadResult::State::kComplete,
+      {"AVP past the end", with_bytes(25, "\0\0\xff"sv), ReadResult::State::kComplete,
        ResultCode::kInvalidAvpLength},
-      {"AVP shorter than its header", with(25, "\0\0\4"sv), ReadResult::State::kComplete,
+      {"AVP shorter than its header", with_bytes(25, "\0\0\4"sv), ReadResult::State::kComplete,
        ResultCode::kInvalidAvpLength},
-      {"number of five bytes", with(20, "\0\0\1\x0c"sv), ReadResult::State::kComplete,
+      {"Unsigned32 of five bytes", with_bytes(20, "\0\0\1\x0c"sv), ReadResult::State::kComplete,
        ResultCode::kInvalidAvpLength},
-      {"malformed group", with(20, "\0\0\1\xbb"sv), ReadResult::State::kComplete,
+      {"malformed group", with_bytes(20, "\0\0\1\xbb"sv), ReadResult::State::kComplete,
        ResultCode::kInvalidAvpLength},
   };
-  for (const auto& one : cases) {
-    CAPTURE(one.what);
-    const auto read = read_message(one.bytes, net::kMaxMessage);
-    CHECK(read.state == one.state);
-    CHECK(read.fault.result == one.result);
+  for (const auto& test_case : cases) {
+    CAPTURE(test_case.name);
+    const auto read = read_message(test_case.bytes, net::kMaxMessage);
+    CHECK(read.state == test_case.state);
+    CHECK(read.fault.result == test_case.result);
   }
 }
 
-TEST_CASE("Diameter: Result-Codes are mapped in one table") {
+TEST_CASE("Diameter: Result-Codes are mapped to outcomes") {
   struct Case {
     std::uint32_t code;
     Outcome outcome;
@@ -225,338 +238,345 @@
       {2001, Outcome::kOk, false},    {2002, Outcome::kOk, false},    {3002, Outcome::kNotSent, false},
       {3004, Outcome::kFull, false},  {3001, Outcome::kError, false}, {4012, Outcome::kError, true},
       {5012, Outcome::kError, false}, {5030, Outcome::kError, true},  {0, Outcome::kError, false}};
-  for (const auto& one : cases) {
-    CAPTURE(one.code);
-    CHECK(find_meaning(one.code).outcome == one.outcome);
-    CHECK(find_meaning(one.code).is_user_error == one.is_user_error);
+  for (const auto& test_case : cases) {
+    CAPTURE(test_case.code);
+    CHECK(find_meaning(test_case.code).outcome == test_case.outcome);
+    CHECK(find_meaning(test_case.code).is_user_error == test_case.is_user_error);
   }
 }
 
-TEST_CASE("Diameter: a call from client to server and back, and its cut told once") {
-  DiameterBench bench(setup(true, true), true);
-  auto& till = *bench.till;
-  till.open("till;1");
-  bench.until([&] { return bench.peer().initials().size() == 1; });
-  const auto ccr = bench.peer().initials()[0];
+TEST_CASE("Diameter: a call is set up between client and server, and its abort is sent to the client once") {
+  DiameterFixture fixture(operator_file(true, true), true);
+  auto& client = *fixture.client_end;
+  client.send_initial_request("till;1");
+  fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+  const auto ccr = fixture.peer().initial_requests()[0];
   CHECK(ccr.parameter(ServiceParameter::kDescription) == "desc");
   CHECK(ccr.text(AvpCode::kServiceContextId) == "voice@kartu.example");
-  bench.peer().answer(ccr, ResultCode::kSuccess, "a\r\nb");
-  bench.until([&] { return till.answers().size() == 1; });
-  CHECK(result_of(till.answers()[0]) == 2001);
-  CHECK(till.answers()[0].text(AvpCode::kSessionId) == "till;1");
-  CHECK(till.answers()[0].parameter(ServiceParameter::kDescription) == "a\r\nb");
+  fixture.peer().send_answer(ccr, ResultCode::kSuccess, "a\r\nb");
+  fixture.until([&] { return client.answers().size() == 1; });
+  CHECK(result_of(client.answers()[0]) == 2001);
+  CHECK(client.answers()[0].text(AvpCode::kSessionId) == "till;1");
+  CHECK(client.answers()[0].parameter(ServiceParameter::kDescription) == "a\r\nb");
 
-  auto asr = bench.peer().request(Command::kAbortSession, kCcApp);
-  bench.peer().origin(asr.add(AvpCode::kSessionId, ccr.text(AvpCode::kSessionId)));
+  auto asr = fixture.peer().request(Command::kAbortSession, kCreditControl);
+  fixture.peer().add_origin(asr.add(AvpCode::kSessionId, ccr.text(AvpCode::kSessionId)));
   const auto raw = asr.finish();
-  bench.peer().stream->send(std::string(raw));
-  bench.peer().stream->send(std::string(raw));
-  bench.until([&] { return bench.peer().all(Command::kAbortSession, false).size() == 2; });
-  CHECK(result_of(bench.peer().all(Command::kAbortSession, false)[1]) == 5002);
-  bench.until([&] { return !till.aborts().empty() && !bench.peer().terminations().empty(); });
-  till.say(till.credit("till;1", RequestType::kTermination));
-  bench.until([&] { return till.answers().size() == 2; });
-  CHECK(result_of(till.answers()[1]) == 2001);
-  till.say(till.credit("till;1", RequestType::kTermination));
-  bench.until([&] { return till.answers().size() == 3; });
-  CHECK(result_of(till.answers()[2]) == 5002);
-  CHECK(till.aborts().size() == 1);
+  fixture.peer().stream->send(std::string(raw));
+  fixture.peer().stream->send(std::string(raw));
+  fixture.until([&] { return fixture.peer().find_messages(Command::kAbortSession, false).size() == 2; });
+  CHECK(result_of(fixture.peer().find_messages(Command::kAbortSession, false)[1]) == 5002);
+  fixture.until(
+      [&] { return !client.abort_requests().empty() && !fixture.peer().termination_requests().empty(); });
+  client.send_message(client.credit_control_request("till;1", RequestType::kTermination));
+  fixture.until([&] { return client.answers().size() == 2; });
+  CHECK(result_of(client.answers()[1]) == 2001);
+  client.send_message(client.credit_control_request("till;1", RequestType::kTermination));
+  fixture.until([&] { return client.answers().size() == 3; });
+  CHECK(result_of(client.answers()[2]) == 5002);
+  CHECK(client.abort_requests().size() == 1);
 }
 
-TEST_CASE("Diameter: clients reach SIP servers, and their termination releases there") {
-  DiameterBench bench(setup(false, true));
-  bench.server.make = nullptr;
-  bench.until([&] { return bench.server.ends.size() == 2; });
-  bench.server.ends.clear();
-  bench.list();
-  bench.till = bench.client_peer("till.acme");
-  auto& till = *bench.till;
-  till.open("till;1");
-  bench.until([&] { return bench.server.with("INVITE sip:77aa@net") != nullptr; });
-  auto& end = *bench.server.with("INVITE sip:77aa@net");
+TEST_CASE("Diameter: a client's call is set up at a SIP server and released there by its termination") {
+  DiameterFixture fixture(operator_file(false, true));
+  fixture.server.make = nullptr;
+  fixture.until([&] { return fixture.server.ends.size() == 2; });
+  fixture.server.ends.clear();
+  fixture.list();
+  fixture.client_end = fixture.connect_client("till.acme");
+  auto& client = *fixture.client_end;
+  client.send_initial_request("till;1");
+  fixture.until([&] { return fixture.server.with("INVITE sip:77aa@net") != nullptr; });
+  auto& end = *fixture.server.with("INVITE sip:77aa@net");
   const auto at = end.in.find("Call-ID: ") + 9;
   const auto sid = end.in.substr(at, 16);
-  bench.answer(end, sid, "sdp");
-  bench.until([&] { return till.answers().size() == 1; });
-  CHECK(till.answers()[0].parameter(ServiceParameter::kDescription) == "sdp");
-  till.say(till.credit("till;1", RequestType::kUpdate));
-  till.say(till.credit("till;1", RequestType::kTermination));
-  bench.until([&] { return till.answers().size() == 3; });
-  CHECK(result_of(till.answers()[1]) == 2001);
-  CHECK(result_of(till.answers()[2]) == 2001);
-  bench.until([&] { return bench.server.with("BYE sip:77aa@net") != nullptr; });
+  fixture.answer(end, sid, "sdp");
+  fixture.until([&] { return client.answers().size() == 1; });
+  CHECK(client.answers()[0].parameter(ServiceParameter::kDescription) == "sdp");
+  client.send_message(client.credit_control_request("till;1", RequestType::kUpdate));
+  client.send_message(client.credit_control_request("till;1", RequestType::kTermination));
+  fixture.until([&] { return client.answers().size() == 3; });
+  CHECK(result_of(client.answers()[1]) == 2001);
+  CHECK(result_of(client.answers()[2]) == 2001);
+  fixture.until([&] { return fixture.server.with("BYE sip:77aa@net") != nullptr; });
 }
 
-TEST_CASE("Diameter: exactly one final answer, whatever crosses") {
-  DiameterBench bench(setup(true, true), true);
-  auto& till = *bench.till;
-  SUBCASE("the deadline passes, then the success comes") {
-    till.open("till;1", "150");
-    bench.until([&] { return till.answers().size() == 1; });
-    CHECK(result_of(till.answers()[0]) == 3004);
-    const auto had = bench.peer().terminations().size();
-    bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
-    bench.until([&] { return bench.peer().terminations().size() > had; });
-  }
-  SUBCASE("the client ends the session before its answer") {
-    till.open("till;1");
-    bench.until([&] { return bench.peer().initials().size() == 1; });
-    till.say(till.credit("till;1", RequestType::kTermination));
-    bench.until([&] { return till.answers().size() == 2; });
-    CHECK(result_of(till.answers()[0]) == 5012);
-    CHECK(result_of(till.answers()[1]) == 2001);
-    bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
-  }
-  SUBCASE("the request comes twice") {
-    till.open("till;1");
-    till.open("till;1");
-    bench.until([&] { return bench.peer().initials().size() == 1; });
-    bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
-    bench.until([&] { return till.answers().size() == 1; });
-  }
-  SUBCASE("every server refuses") {
-    till.open("till;1", "300");
-    bench.until([&] { return bench.peer().initials().size() == 1; });
-    bench.peer().answer(bench.peer().initials()[0], ResultCode::kTooBusy);
-    bench.until([&] { return !till.answers().empty(); });
-    CHECK(result_of(till.answers()[0]) == 3004);
-    CHECK(till.answers()[0].is_error);
-  }
-  bench.settle();
-  const auto answers = till.all(Command::kCreditControl, false, RequestType::kInitial);
+TEST_CASE("Diameter: an initial request gets exactly one answer when messages cross") {
+  DiameterFixture fixture(operator_file(true, true), true);
+  auto& client = *fixture.client_end;
+  SUBCASE("the success answer comes after the deadline") {
+    client.send_initial_request("till;1", "150");
+    fixture.until([&] { return client.answers().size() == 1; });
+    CHECK(result_of(client.answers()[0]) == 3004);
+    const auto previous_count = fixture.peer().termination_requests().size();
+    fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
+    fixture.until([&] { return fixture.peer().termination_requests().size() > previous_count; });
+  }
+  SUBCASE("the client terminates the session before its answer") {
+    client.send_initial_request("till;1");
+    fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+    client.send_message(client.credit_control_request("till;1", RequestType::kTermination));
+    fixture.until([&] { return client.answers().size() == 2; });
+    CHECK(result_of(client.answers()[0]) == 5012);
+    CHECK(result_of(client.answers()[1]) == 2001);
+    fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
+  }
+  SUBCASE("the request is sent twice") {
+    client.send_initial_request("till;1");
+    client.send_initial_request("till;1");
+    fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+    fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
+    fixture.until([&] { return client.answers().size() == 1; });
+  }
+  SUBCASE("every server rejects the call") {
+    client.send_initial_request("till;1", "300");
+    fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+    fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kTooBusy);
+    fixture.until([&] { return !client.answers().empty(); });
+    CHECK(result_of(client.answers()[0]) == 3004);
+    CHECK(client.answers()[0].is_error);
+  }
+  fixture.settle();
+  const auto answers = client.find_messages(Command::kCreditControl, false, RequestType::kInitial);
   CHECK(answers.size() == 1);
 }
 
-TEST_CASE("Diameter: a silent watchdog stops new calls, and those out may finish") {
-  DiameterBench bench(setup(true, false, milliseconds{100}));
-  bool one_out = false;
-  SUBCASE("a call that is out finishes") {
-    one_out = true;
-  }
-  SUBCASE("once it answers again, it is used again") {}
-  if (one_out) {
-    bench.open(kA, 5000);
-    bench.until([&] { return bench.peer().initials().size() == 1; });
-  }
-  /// Messages other than the watchdog's answer go on coming: they are no sign of life for new calls.
-  Instant said{};
-  const auto chatter = [&] {
-    if (Loop::now() - said < milliseconds{20}) return;
-    said = Loop::now();
-    auto other = bench.peer().request(Command::kAbortSession, kCcApp);
-    bench.peer().say(bench.peer().origin(other.add(AvpCode::kSessionId, "none")));
+TEST_CASE("Diameter: a peer with an unanswered watchdog gets no new calls, and pending set-ups may finish") {
+  DiameterFixture fixture(operator_file(true, false, milliseconds{100}));
+  bool has_pending_set_up = false;
+  SUBCASE("an unanswered set-up finishes") {
+    has_pending_set_up = true;
+  }
+  SUBCASE("the peer gets calls again once it answers its watchdog") {}
+  if (has_pending_set_up) {
+    fixture.open(kCallA, 5000);
+    fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+  }
+  /// Sends messages other than watchdog answers all the time. They must not make the peer count as healthy.
+  Instant last_sent{};
+  const auto send_other_message = [&] {
+    if (Loop::now() - last_sent < milliseconds{20}) return;
+    last_sent = Loop::now();
+    auto abort_request = fixture.peer().request(Command::kAbortSession, kCreditControl);
+    fixture.peer().send_message(fixture.peer().add_origin(abort_request.add(AvpCode::kSessionId, "none")));
   };
-  /// True: a call opened now reaches the peer, and stands; false: its caller is told no.
-  int calls = 0;
-  const auto reaches = [&](int left = 150) {
-    const auto sid = "00000000000001" + std::to_string(10 + calls++);
-    const auto had = bench.peer().initials().size();
-    bench.open(sid, left);
-    const auto reached = [&] { return bench.peer().initials().size() > had; };
-    bench.until([&] {
-      chatter();
-      return reached() || bench.caller->has("\"close\",\"sid\":\"" + sid);
+  /// Opens a call. Returns true if the call reaches the peer, which accepts it, and false if it is rejected.
+  int call_count = 0;
+  const auto is_new_call_routed = [&](int remaining_ms = 150) {
+    const auto sid = "00000000000001" + std::to_string(10 + call_count++);
+    const auto previous_count = fixture.peer().initial_requests().size();
+    fixture.open(sid, remaining_ms);
+    const auto has_reached_peer = [&] { return fixture.peer().initial_requests().size() > previous_count; };
+    fixture.until([&] {
+      send_other_message();
+      return has_reached_peer() || fixture.caller->has("\"close\",\"sid\":\"" + sid);
     });
-    if (reached()) bench.peer().answer(bench.peer().initials()[had], ResultCode::kSuccess);
-    return reached();
+    if (has_reached_peer())
+      fixture.peer().send_answer(fixture.peer().initial_requests()[previous_count], ResultCode::kSuccess);
+    return has_reached_peer();
   };
-  CHECK(reaches());
-  bench.peer().answers_watchdogs = false;
-  const auto had = bench.peer().watchdogs;
-  // It is asked again once the first silence has been noted.
-  bench.until([&] {
-    chatter();
-    return bench.peer().watchdogs >= had + 2;
+  CHECK(is_new_call_routed());
+  fixture.peer().answers_watchdogs = false;
+  const auto answered_requests = fixture.peer().watchdog_requests;
+  // The second unanswered request is sent after the router has noticed that the first was not answered.
+  fixture.until([&] {
+    send_other_message();
+    return fixture.peer().watchdog_requests >= answered_requests + 2;
   });
-  CHECK_FALSE(reaches());
-  if (one_out) {
-    bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
-    bench.until([&] {
-      chatter();
-      return bench.caller->has("\"ready\",\"sid\":\"" + kA);
+  CHECK_FALSE(is_new_call_routed());
+  if (has_pending_set_up) {
+    fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
+    fixture.until([&] {
+      send_other_message();
+      return fixture.caller->has("\"ready\",\"sid\":\"" + kCallA);
     });
   } else {
-    bench.peer().answers_watchdogs = true;
-    const auto seen = bench.peer().watchdogs;
-    bench.until([&] {
-      chatter();
-      return bench.peer().watchdogs > seen;
+    fixture.peer().answers_watchdogs = true;
+    const auto previous_count = fixture.peer().watchdog_requests;
+    fixture.until([&] {
+      send_other_message();
+      return fixture.peer().watchdog_requests > previous_count;
     });
-    CHECK(reaches());
+    CHECK(is_new_call_routed());
   }
-  CHECK(bench.server.ends.size() == 1);
+  CHECK(fixture.server.ends.size() == 1);
 }
 
-TEST_CASE("Diameter: a peer that starts anew mid-call has its calls cut once") {
-  DiameterBench bench(setup(true, false, milliseconds{100}));
-  bench.stand(kA);
-  bench.open(kB, 400);
-  bench.until([&] { return bench.peer().initials().size() == 2; });
-  SUBCASE("told in an answer to a watchdog") {
-    bench.peer().state = 2;
-  }
-  SUBCASE("told when it connects again") {
-    bench.state = 2;
-    bench.peer().stream->close();
-  }
-  bench.until(
-      [&] { return bench.caller->has("\"close\",\"sid\":\"" + kA + "\",\"attrs\":{},\"code\":41}"); });
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kB); });
-  const auto watchdogs = bench.peer().watchdogs;
-  bench.until([&] { return bench.peer().watchdogs > watchdogs + 1; });  // it says so again and again
-  CHECK(bench.caller->count("\"close\",\"sid\":\"" + kA) == 1);
-  CHECK(bench.caller->count("\"close\",\"sid\":\"" + kB) == 1);
-  CHECK(bench.router->counters().aborted == 1);
+TEST_CASE("Diameter: the calls at a server that restarts are aborted once") {
+  DiameterFixture fixture(operator_file(true, false, milliseconds{100}));
+  fixture.establish_call(kCallA);
+  fixture.open(kCallB, 400);
+  fixture.until([&] { return fixture.peer().initial_requests().size() == 2; });
+  SUBCASE("the new state id is in a watchdog answer") {
+    fixture.peer().state_id = 2;
+  }
+  SUBCASE("the new state id is in a capabilities exchange") {
+    fixture.state_id = 2;
+    fixture.peer().stream->close();
+  }
+  fixture.until(
+      [&] { return fixture.caller->has("\"close\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":41}"); });
+  fixture.until([&] { return fixture.caller->has("\"close\",\"sid\":\"" + kCallB); });
+  const auto previous_requests = fixture.peer().watchdog_requests;
+  // Further answers repeat the new state id.
+  fixture.until([&] { return fixture.peer().watchdog_requests > previous_requests + 1; });
+  CHECK(fixture.caller->count("\"close\",\"sid\":\"" + kCallA) == 1);
+  CHECK(fixture.caller->count("\"close\",\"sid\":\"" + kCallB) == 1);
+  CHECK(fixture.router->counters().aborted == 1);
 }
 
-TEST_CASE("Diameter: nothing new goes to a peer that disconnects or drains") {
-  DiameterBench bench(setup(true, false));
-  bench.stand(kA);
-  SUBCASE("DPR") {
-    auto dpr = bench.peer().request(Command::kDisconnect, 0);
-    bench.peer().say(bench.peer().origin(dpr).add(AvpCode::kDisconnectCause, 0U));
-    bench.until([&] { return bench.peer().all(Command::kDisconnect, false).size() == 1; });
-    CHECK(result_of(bench.peer().all(Command::kDisconnect, false)[0]) == 2001);
-  }
-  SUBCASE("the list says so") {
-    bench.list(EndpointState::kDraining);
-  }
-  const auto had = bench.peer().initials().size();
-  bench.open(kB, 100);
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kB); });
-  CHECK(bench.peer().initials().size() == had);
-  CHECK_FALSE(bench.caller->has("\"close\",\"sid\":\"" + kA));
-  CHECK(bench.router->table().established() == 1);
+TEST_CASE("Diameter: a server that disconnects or drains gets no new calls") {
+  DiameterFixture fixture(operator_file(true, false));
+  fixture.establish_call(kCallA);
+  SUBCASE("the server sends a disconnect request") {
+    auto dpr = fixture.peer().request(Command::kDisconnect, 0);
+    fixture.peer().send_message(fixture.peer().add_origin(dpr).add(AvpCode::kDisconnectCause, 0U));
+    fixture.until([&] { return fixture.peer().find_messages(Command::kDisconnect, false).size() == 1; });
+    CHECK(result_of(fixture.peer().find_messages(Command::kDisconnect, false)[0]) == 2001);
+  }
+  SUBCASE("the server is listed as draining") {
+    fixture.list(EndpointState::kDraining);
+  }
+  const auto previous_count = fixture.peer().initial_requests().size();
+  fixture.open(kCallB, 100);
+  fixture.until([&] { return fixture.caller->has("\"close\",\"sid\":\"" + kCallB); });
+  CHECK(fixture.peer().initial_requests().size() == previous_count);
+  CHECK_FALSE(fixture.caller->has("\"close\",\"sid\":\"" + kCallA));
+  CHECK(fixture.router->table().established() == 1);
 }
 
-TEST_CASE("Diameter: a client that starts anew, or is gone, leaves nothing standing") {
-  DiameterBench bench(setup(true, true), true);
-  bench.till->open("till;1");
-  bench.until([&] { return bench.peer().initials().size() == 1; });
-  bench.peer().answer(bench.peer().initials()[0], ResultCode::kSuccess);
-  bench.until([&] { return bench.router->table().established() == 1; });
-  bench.till->stream->close();
-  SUBCASE("as the same process: the session stands, and its end waits for the connection") {
-    bench.settle();
-    CHECK(bench.router->table().established() == 1);
-    auto asr = bench.peer().request(Command::kAbortSession, kCcApp);
-    bench.peer().say(bench.peer().origin(
-        asr.add(AvpCode::kSessionId, bench.peer().initials()[0].text(AvpCode::kSessionId))));
-    bench.until([&] { return bench.router->table().established() == 0; });
-    bench.till = bench.client_peer("till.acme");
-    bench.until([&] { return bench.till->aborts().size() == 1; });
-  }
-  SUBCASE("as another: the session is released at the server") {
-    bench.till = bench.client_peer("till.acme", 2);
-    bench.until([&] { return bench.peer().terminations().size() == 1; });
-    CHECK(bench.router->table().established() == 0);
+TEST_CASE("Diameter: sessions outlast a reconnect of their client, but not its restart") {
+  DiameterFixture fixture(operator_file(true, true), true);
+  fixture.client_end->send_initial_request("till;1");
+  fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+  fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
+  fixture.until([&] { return fixture.router->table().established() == 1; });
+  fixture.client_end->stream->close();
+  SUBCASE("same process: the session is kept, and its abort request waits for the connection") {
+    fixture.settle();
+    CHECK(fixture.router->table().established() == 1);
+    auto asr = fixture.peer().request(Command::kAbortSession, kCreditControl);
+    fixture.peer().send_message(fixture.peer().add_origin(
+        asr.add(AvpCode::kSessionId, fixture.peer().initial_requests()[0].text(AvpCode::kSessionId))));
+    fixture.until([&] { return fixture.router->table().established() == 0; });
+    fixture.client_end = fixture.connect_client("till.acme");
+    fixture.until([&] { return fixture.client_end->abort_requests().size() == 1; });
+  }
+  SUBCASE("restarted process: the session is released at the server") {
+    fixture.client_end = fixture.connect_client("till.acme", 2);
+    fixture.until([&] { return fixture.peer().termination_requests().size() == 1; });
+    CHECK(fixture.router->table().established() == 0);
   }
 }
 
-TEST_CASE("Diameter: a request whose client left while it was held is not sent on when a server comes") {
-  enum class By { kTermination, kFin, kReset };
-  for (const auto by : {By::kTermination, By::kFin, By::kReset}) {
-    DiameterBench bench(setup(false, true));
-    bench.server.make = nullptr;
-    bench.list(EndpointState::kDraining);
-    bench.till = bench.client_peer("till.acme");
-    bench.till->open("till;1", "2900");
-    bench.until([&] { return bench.router->counters().received == 1; });
-    if (by == By::kTermination) {
-      bench.till->say(bench.till->credit("till;1", RequestType::kTermination));
-    } else if (by == By::kFin) {
-      bench.till->stream->close();
+TEST_CASE("Diameter: a queued request whose client has left is not sent when a server becomes ready") {
+  enum class ClientExit { kTermination, kFin, kReset };
+  for (const auto client_exit : {ClientExit::kTermination, ClientExit::kFin, ClientExit::kReset}) {
+    DiameterFixture fixture(operator_file(false, true));
+    fixture.server.make = nullptr;
+    fixture.list(EndpointState::kDraining);
+    fixture.client_end = fixture.connect_client("till.acme");
+    fixture.client_end->send_initial_request("till;1", "2900");
+    fixture.until([&] { return fixture.router->counters().received == 1; });
+    if (client_exit == ClientExit::kTermination) {
+      fixture.client_end->send_message(
+          fixture.client_end->credit_control_request("till;1", RequestType::kTermination));
+    } else if (client_exit == ClientExit::kFin) {
+      fixture.client_end->stream->close();
     } else {
-      bench.till->stream->reset();
+      fixture.client_end->stream->reset();
     }
-    bench.until([&] { return bench.router->counters().abandoned == 1; });
-    CHECK(bench.router->counters().abandoned_while_queued == 1);
-    bench.list();
-    bench.open(kB);
-    bench.until([&] { return bench.server.with("Call-ID: " + kB) != nullptr; });
-    bench.settle();
-    CHECK(bench.server.count("INVITE sip:77aa@net") == 1);
-    CHECK(bench.router->counters().attempts == 1);
+    fixture.until([&] { return fixture.router->counters().abandoned == 1; });
+    CHECK(fixture.router->counters().abandoned_while_queued == 1);
+    fixture.list();
+    fixture.open(kCallB);
+    fixture.until([&] { return fixture.server.with("Call-ID: " + kCallB) != nullptr; });
+    fixture.settle();
+    CHECK(fixture.server.count("INVITE sip:77aa@net") == 1);
+    CHECK(fixture.router->counters().attempts == 1);
   }
 }
 
-TEST_CASE("Diameter: requests queued and in flight at SIGTERM are answered before SIGKILL may come") {
+TEST_CASE("Diameter: requests queued and in flight at SIGTERM are answered before SIGKILL may follow") {
   constexpr std::size_t kRequests = 8;
   auto config = bench_config();
   for (auto& call_class : config.settings.classes) {
     call_class.deadline = milliseconds{1500};                // SIGKILL may come 2.2 s after SIGTERM
-    call_class.latency_objective = std::chrono::seconds{6};  // no attempt is called off as silent before that
-  }
-  DiameterBench bench(setup(false, true), false, config);
-  bench.server.make = nullptr;  // the server speaks SIP
-  bench.till = bench.client_peer("till.acme");
-  auto& till = *bench.till;
-  for (std::size_t i = 0; i < kRequests; ++i) till.open("till;" + std::to_string(i), "2950");
-  bench.until([&] { return bench.router->table().unanswered() == kRequests; });
-  bench.until([&] { return bench.server.count("CSeq: 1 INVITE") > 0; });
+    call_class.latency_objective = std::chrono::seconds{6};  // no attempt is cancelled as silent before that
+  }
+  DiameterFixture fixture(operator_file(false, true), false, config);
+  fixture.server.make = nullptr;  // the server speaks SIP
+  fixture.client_end = fixture.connect_client("till.acme");
+  auto& client = *fixture.client_end;
+  for (std::size_t i = 0; i < kRequests; ++i)
+    client.send_initial_request("till;" + std::to_string(i), "2950");
+  fixture.until([&] { return fixture.router->table().unanswered() == kRequests; });
+  fixture.until([&] { return fixture.server.count("CSeq: 1 INVITE") > 0; });
   bool is_over = false;
   bool is_late = false;
-  bench.router->shut_down([&] { is_over = true; });
-  bench.loop.after(milliseconds{2600}, [&] { is_late = true; });
-  bench.until([&] { return is_over || is_late; });
+  fixture.router->shut_down([&] { is_over = true; });
+  fixture.loop.after(milliseconds{2600}, [&] { is_late = true; });
+  fixture.until([&] { return is_over || is_late; });
   CHECK_FALSE(is_late);
-  bench.until([&] { return till.answers().size() == kRequests; });
-  for (const auto& answer : till.answers()) {
-    CHECK(result_of(answer) == 3004);  // DIAMETER_TOO_BUSY, for want of a word of its own
-    CHECK(answer.find(AvpCode::kErrorMessage) != nullptr);  // when to come back
+  fixture.until([&] { return client.answers().size() == kRequests; });
+  for (const auto& answer : client.answers()) {
+    CHECK(result_of(answer) == 3004);  // DIAMETER_TOO_BUSY; there is no result of its own
+    CHECK(answer.find(AvpCode::kErrorMessage) != nullptr);  // when to try again
   }
 }
 
-TEST_CASE("Diameter: what is malformed gets the RFC's answer") {
-  DiameterBench bench(setup(true, true), true);
-  auto& till = *bench.till;
+TEST_CASE("Diameter: malformed and unsupported requests get the RFC's Result-Codes") {
+  DiameterFixture fixture(operator_file(true, true), true);
+  auto& client = *fixture.client_end;
   struct Case {
-    const char* what;
+    const char* name;
     std::function<Writer()> make;
     std::uint32_t result;
-    std::uint32_t failed;  ///< code in Failed-AVP; zero: none
+    std::uint32_t failed_avp_code;  ///< AVP code in Failed-AVP; zero if there is none
   };
-  const auto initial = [&] { return till.credit("till;9", RequestType::kInitial); };
+  const auto initial_request = [&] { return client.credit_control_request("till;9", RequestType::kInitial); };
   const std::string unknown("\0\0\x7f\0\x40\0\0\x08", 8);
   const Case cases[] = {
-      {"unknown mandatory AVP", [&] { return initial().add_raw(unknown); }, 5001, 0x7f00},
+      {"unknown mandatory AVP", [&] { return initial_request().add_raw(unknown); }, 5001, 0x7f00},
       {"no Session-Id",
        [&] {
-         auto ccr = till.request(Command::kCreditControl, kCcApp);
-         return till.origin(ccr);
+         auto ccr = client.request(Command::kCreditControl, kCreditControl);
+         return client.add_origin(ccr);
        },
        5005, 263},
-      {"no Subscription-Id", initial, 5005, 443},
-      {"an event", [&] { return till.credit("till;9", RequestType::kEvent); }, 5004, 416},
-      {"an update of no session", [&] { return till.credit("till;9", RequestType::kUpdate); }, 5002, 0},
+      {"no Subscription-Id", initial_request, 5005, 443},
+      {"an event request", [&] { return client.credit_control_request("till;9", RequestType::kEvent); }, 5004,
+       416},
+      {"an update of an unknown session",
+       [&] { return client.credit_control_request("till;9", RequestType::kUpdate); }, 5002, 0},
       {"another application",
        [&] {
-         auto ccr = till.request(Command::kCreditControl, 16777238);
-         return till.origin(ccr.add(AvpCode::kSessionId, "till;9"));
+         auto ccr = client.request(Command::kCreditControl, 16777238);
+         return client.add_origin(ccr.add(AvpCode::kSessionId, "till;9"));
        },
        3007, 0},
   };
   std::size_t answers = 0;
-  for (const auto& one : cases) {
-    CAPTURE(one.what);
-    till.say(one.make());
-    bench.until([&] { return till.answers().size() == answers + 1; });
-    const auto answer = till.answers()[answers++];
-    CHECK(result_of(answer) == one.result);
+  for (const auto& test_case : cases) {
+    CAPTURE(test_case.name);
+    client.send_message(test_case.make());
+    fixture.until([&] { return client.answers().size() == answers + 1; });
+    const auto answer = client.answers()[answers++];
+    CHECK(result_of(answer) == test_case.result);
     const auto* failed = answer.find(AvpCode::kFailedAvp);
-    CHECK((failed != nullptr) == (one.failed != 0));
+    CHECK((failed != nullptr) == (test_case.failed_avp_code != 0));
     if (failed == nullptr) continue;
     const auto group = read_group(failed->data);
     REQUIRE(group);
-    CHECK(group->front().code == one.failed);
+    CHECK(group->front().code == test_case.failed_avp_code);
   }
-  auto odd = till.request(static_cast<Command>(258), kCcApp);
-  till.say(till.origin(odd));
-  bench.until([&] { return till.all(static_cast<Command>(258), false).size() == 1; });
-  CHECK(result_of(till.all(static_cast<Command>(258), false)[0]) == 3001);
-  CHECK(bench.peer().initials().empty());
+  auto unknown_command = client.request(static_cast<Command>(258), kCreditControl);
+  client.send_message(client.add_origin(unknown_command));
+  fixture.until([&] { return client.find_messages(static_cast<Command>(258), false).size() == 1; });
+  CHECK(result_of(client.find_messages(static_cast<Command>(258), false)[0]) == 3001);
+  CHECK(fixture.peer().initial_requests().empty());
 
-  const auto stranger = bench.client_peer("stranger.acme");
-  CHECK(result_of(stranger->all(Command::kCapabilitiesExchange, false)[0]) == 3010);
-  bench.until([&] { return stranger->closed; });
+  const auto stranger = fixture.connect_client("stranger.acme");
+  CHECK(result_of(stranger->find_messages(Command::kCapabilitiesExchange, false)[0]) == 3010);
+  fixture.until([&] { return stranger->closed; });
 }
--- a/tests/wire_format_diameter.hpp
+++ b/tests/wire_format_diameter.hpp
@@ -1,5 +1,5 @@
-// What the tests of Diameter bytes share: messages cut out of a stream and shown one AVP a line, as hex
-// digits.
+// Helpers of the Diameter wire format tests: they cut messages out of a stream and format them as hex digits,
+// one AVP a line.
 #pragma once
 
 #include <cstdint>
@@ -11,25 +11,27 @@
 
 namespace amberknot::tests {
 
-inline std::uint32_t number_at(std::string_view bytes, std::size_t at, std::size_t size) {
-  std::uint32_t number = 0;
-  for (std::size_t i = 0; i < size; ++i) number = number << 8U | static_cast<unsigned char>(bytes[at + i]);
-  return number;
+/// Reads a big-endian integer of `size` bytes.
+inline std::uint32_t integer_at(std::string_view bytes, std::size_t at, std::size_t size) {
+  std::uint32_t value = 0;
+  for (std::size_t i = 0; i < size; ++i) value = value << 8U | static_cast<unsigned char>(bytes[at + i]);
+  return value;
 }
 
-inline diameter::Message read_whole(const std::string& bytes) {
+/// Parses a message, which must be complete. It refers to `bytes`.
+inline diameter::Message parse_message(const std::string& bytes) {
   const auto read = diameter::read_message(bytes, net::kMaxMessage);
   REQUIRE(read.state == diameter::ReadResult::State::kComplete);
   return read.message;
 }
 
-/// Shows messages of one router. Its Origin-State-Id is the time of its start: that number, wherever it is,
-/// becomes zeros, as do the twelve bits of it in the End-to-End Identifier of a request (RFC 6733, section
-/// 3).
-class DiameterText {
+/// Formats the messages of one router. The router's Origin-State-Id is the time of its start. So that the
+/// text does not depend on it, each occurrence is replaced by zeros, as are its twelve bits in the End-to-End
+/// Identifier of a request (RFC 6733, section 3).
+class DiameterFormatter {
  public:
-  /// The header on a line, then each AVP with its padding.
-  std::string of(std::string message) {
+  /// Returns the header on one line, then one line for each AVP with its padding.
+  std::string format(std::string message) {
     constexpr std::size_t kHeaderSize = 20;
     constexpr std::uint8_t kRequestBit = 0x80;
     REQUIRE(message.size() >= kHeaderSize);
@@ -39,24 +41,25 @@
     }
     mask_state_id(message);
     std::string text = hex_of(message.substr(0, kHeaderSize));
-    for (std::size_t at = kHeaderSize; at + 8 <= message.size();) {
-      const auto size = (number_at(message, at + 5, 3) + 3) / 4 * 4;
-      text += "\n" + hex_of(message.substr(at, size));
-      at += std::max<std::size_t>(size, 8);
+    for (std::size_t offset = kHeaderSize; offset + 8 <= message.size();) {
+      const auto size = (integer_at(message, offset + 5, 3) + 3) / 4 * 4;
+      text += "\n" + hex_of(message.substr(offset, size));
+      offset += std::max<std::size_t>(size, 8);
     }
     return text;
   }
+  /// Returns the Origin-State-Id of the last message that had one, or zero.
   [[nodiscard]] std::uint32_t state_id() const { return state_id_; }
 
  private:
   void mask_state_id(std::string& message) {
     using namespace std::string_view_literals;
-    constexpr auto kOriginStateIdHead = "\0\0\x01\x16\x40\0\0\x0c"sv;
-    if (const auto at = message.find(kOriginStateIdHead); at != std::string::npos) {
-      state_id_ = number_at(message, at + kOriginStateIdHead.size(), 4);
-      message.replace(at + kOriginStateIdHead.size(), 4, 4, '\0');
+    constexpr auto kOriginStateIdHeader = "\0\0\x01\x16\x40\0\0\x0c"sv;
+    if (const auto at = message.find(kOriginStateIdHeader); at != std::string::npos) {
+      state_id_ = integer_at(message, at + kOriginStateIdHeader.size(), 4);
+      message.replace(at + kOriginStateIdHeader.size(), 4, 4, '\0');
     }
-    const auto decimal = std::to_string(state_id_);  // in the Session-Id (RFC 6733, section 8.8)
+    const auto decimal = std::to_string(state_id_);  // part of the Session-Id (RFC 6733, section 8.8)
     if (const auto at = message.find(";" + decimal + ";"); at != std::string::npos) {
       message.replace(at + 1, decimal.size(), decimal.size(), '0');
     }
@@ -64,7 +67,8 @@
   std::uint32_t state_id_ = 0;
 };
 
-inline app::OperatorFile diameter_setup(milliseconds watchdog = std::chrono::seconds{30}) {
+/// Returns an operator file that enables Diameter, without clients and servers.
+inline app::OperatorFile diameter_operator_file(milliseconds watchdog = std::chrono::seconds{30}) {
   app::OperatorFile file;
   file.diameter.emplace();
   file.diameter->origin_host = "n0.kartu.example";
@@ -73,9 +77,9 @@
   return file;
 }
 
-/// The router's next message at an end, taken out of what came there.
+/// Waits for the next message of the router on a connection and removes it from the received bytes.
 inline std::string next_message(Bench& bench, End& end) {
-  const auto size = [&] { return end.in.size() < 4 ? 4 : number_at(end.in, 1, 3); };
+  const auto size = [&] { return end.in.size() < 4 ? 4 : integer_at(end.in, 1, 3); };
   bench.until([&] { return end.in.size() >= 4 && end.in.size() >= size(); });
   auto message = end.in.substr(0, size());
   end.in.erase(0, message.size());
--- a/tests/wire_format_diameter_client_test.cpp
+++ b/tests/wire_format_diameter_client_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of every Diameter message to a client.
+// Checks the bytes of every Diameter message that the router sends to a client.
 #include "wire_format_diameter.hpp"
 
 namespace amberknot::tests {
@@ -14,29 +14,32 @@
 constexpr std::uint32_t kHopByHop = 0xaabbccdd;
 constexpr std::uint32_t kEndToEnd = 0x11223344;
 
-app::OperatorFile setup_with_clients() {
-  auto file = diameter_setup();
+app::OperatorFile operator_file_with_clients() {
+  auto file = diameter_operator_file();
   file.diameter->listen = asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0);
   file.diameter->clients = {"till.acme"};
   return file;
 }
 
-/// A router with a SIP server, and a Diameter client that says only what the test lets it say.
-struct DiameterClientBench : Bench {
-  explicit DiameterClientBench(const app::Config& config = bench_config())
-      : Bench(setup_with_clients(), config), client(connect(*router->diameter_at())) {}
-  std::string next_text() { return text.of(next_message(*this, *client)); }
+/// A router with a SIP server, and a Diameter client that sends only the messages of the test.
+struct DiameterClientFixture : Bench {
+  explicit DiameterClientFixture(const app::Config& config = bench_config())
+      : Bench(operator_file_with_clients(), config), client(connect(*router->diameter_at())) {}
+  std::string next_message_text() { return formatter.format(next_message(*this, *client)); }
   void send(Writer& writer) { client->stream->send(writer.finish()); }
-  /// Sends a capabilities exchange request; the answer.
-  std::string exchange(const std::string& host, const std::string& realm, std::uint32_t application) {
+  /// Sends a capabilities exchange request and returns the answer.
+  std::string exchange_capabilities(const std::string& host, const std::string& realm,
+                                    std::uint32_t application) {
     auto cer = Writer::request(Command::kCapabilitiesExchange, 0, kHopByHop, kEndToEnd);
     cer.add(AvpCode::kOriginHost, host);
     if (!realm.empty()) cer.add(AvpCode::kOriginRealm, realm);
     send(cer.add(AvpCode::kAuthApplicationId, application));
-    return next_text();
+    return next_message_text();
   }
-  void exchange() { exchange("till.acme", "acme", diameter::kCreditControlApplication); }
-  static Writer credit(RequestType type, const std::string& context = "voice@kartu.example") {
+  void exchange_capabilities() {
+    exchange_capabilities("till.acme", "acme", diameter::kCreditControlApplication);
+  }
+  static Writer credit_control_request(RequestType type, const std::string& context = "voice@kartu.example") {
     auto ccr =
         Writer::request(Command::kCreditControl, diameter::kCreditControlApplication, kHopByHop, kEndToEnd);
     ccr.add(AvpCode::kSessionId, "till;1")
@@ -48,8 +51,8 @@
     ccr.add(AvpCode::kCcRequestType, static_cast<std::uint32_t>(type)).add(AvpCode::kCcRequestNumber, 7U);
     return ccr;
   }
-  void set_up(const std::string& wait_ms) {
-    auto ccr = credit(RequestType::kInitial);
+  void send_initial_request(const std::string& wait_ms) {
+    auto ccr = credit_control_request(RequestType::kInitial);
     ccr.add_group(AvpCode::kProxyInfo, [](Writer& group) { group.add(AvpCode::kOriginHost, "proxy.acme"); });
     ccr.add_group(AvpCode::kSubscriptionId, [](Writer& group) {
       group.add(AvpCode::kSubscriptionIdType, 4U).add(AvpCode::kSubscriptionIdData, "77aa");
@@ -57,28 +60,29 @@
     send(ccr.add_parameter(ServiceParameter::kDescription, "desc")
              .add_parameter(ServiceParameter::kWaitMs, wait_ms));
   }
-  /// The Call-ID by which the server knows the client's first call.
+  /// Returns the Call-ID under which the client's first call is set up at the server.
   std::string call_id() const {
     char id[17];
-    std::snprintf(id, sizeof id, "%08x%08x", text.state_id(), 0U);
+    std::snprintf(id, sizeof id, "%08x%08x", formatter.state_id(), 0U);
     return id;
   }
-  End& set_up_that_stands() {
+  /// Establishes a call and returns the server's connection.
+  End& establish_call() {
     list();
-    set_up("2000");
+    send_initial_request("2000");
     auto& end = invited(call_id());
     answer(end, call_id(), "sdp");
     return end;
   }
 
-  DiameterText text;
+  DiameterFormatter formatter;
   std::unique_ptr<End> client;
 };
 
 }  // namespace
 
 TEST_CASE("Diameter client bytes: capabilities exchange") {
-  CHECK(DiameterClientBench().exchange("till.acme", "acme", 4) ==
+  CHECK(DiameterClientFixture().exchange_capabilities("till.acme", "acme", 4) ==
         "010000980000010100000000aabbccdd11223344\n"          // header
         "0000010c4000000c000007d1\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
@@ -89,7 +93,7 @@
         "000001164000000c00000000\n"                          // Origin-State-Id
         "000001024000000c00000004"                            // Auth-Application-Id
   );
-  CHECK(DiameterClientBench().exchange("other.acme", "acme", 4) ==
+  CHECK(DiameterClientFixture().exchange_capabilities("other.acme", "acme", 4) ==
         "010000982000010100000000aabbccdd11223344\n"          // header
         "0000010c4000000c00000bc2\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
@@ -100,7 +104,7 @@
         "000001164000000c00000000\n"                          // Origin-State-Id
         "000001024000000c00000004"                            // Auth-Application-Id
   );
-  CHECK(DiameterClientBench().exchange("till.acme", "", 4) ==
+  CHECK(DiameterClientFixture().exchange_capabilities("till.acme", "", 4) ==
         "010000a80000010100000000aabbccdd11223344\n"          // header
         "0000010c4000000c0000138d\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
@@ -112,7 +116,7 @@
         "000001164000000c00000000\n"                          // Origin-State-Id
         "000001024000000c00000004"                            // Auth-Application-Id
   );
-  CHECK(DiameterClientBench().exchange("till.acme", "acme", 5) ==
+  CHECK(DiameterClientFixture().exchange_capabilities("till.acme", "acme", 5) ==
         "010000980000010100000000aabbccdd11223344\n"          // header
         "0000010c4000000c00001392\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
@@ -125,11 +129,11 @@
   );
 }
 
-TEST_CASE("Diameter client bytes: a call that stands, and its termination") {
-  DiameterClientBench bench;
-  bench.exchange();
-  bench.set_up_that_stands();
-  CHECK(bench.next_text() ==
+TEST_CASE("Diameter client bytes: an established call and its termination") {
+  DiameterClientFixture fixture;
+  fixture.exchange_capabilities();
+  fixture.establish_call();
+  CHECK(fixture.next_message_text() ==
         "010000c04000011000000004aabbccdd11223344\n"                        // header
         "000001074000000e74696c6c3b310000\n"                                // Session-Id
         "0000010c4000000c000007d1\n"                                        // Result-Code
@@ -141,9 +145,9 @@
         "0000019f4000000c00000007\n"                                        // CC-Request-Number
         "000001b840000020000001b94000000c00000001000001ba4000000b73647000"  // Service-Parameter-Info
   );
-  auto update = DiameterClientBench::credit(RequestType::kUpdate);
-  bench.send(update);
-  CHECK(bench.next_text() ==
+  auto update = DiameterClientFixture::credit_control_request(RequestType::kUpdate);
+  fixture.send(update);
+  CHECK(fixture.next_message_text() ==
         "010000844000011000000004aabbccdd11223344\n"          // header
         "000001074000000e74696c6c3b310000\n"                  // Session-Id
         "0000010c4000000c000007d1\n"                          // Result-Code
@@ -153,9 +157,9 @@
         "000001a04000000c00000002\n"                          // CC-Request-Type
         "0000019f4000000c00000007"                            // CC-Request-Number
   );
-  auto termination = DiameterClientBench::credit(RequestType::kTermination);
-  bench.send(termination);
-  CHECK(bench.next_text() ==
+  auto termination = DiameterClientFixture::credit_control_request(RequestType::kTermination);
+  fixture.send(termination);
+  CHECK(fixture.next_message_text() ==
         "010000844000011000000004aabbccdd11223344\n"          // header
         "000001074000000e74696c6c3b310000\n"                  // Session-Id
         "0000010c4000000c000007d1\n"                          // Result-Code
@@ -165,9 +169,9 @@
         "000001a04000000c00000003\n"                          // CC-Request-Type
         "0000019f4000000c00000007"                            // CC-Request-Number
   );
-  termination = DiameterClientBench::credit(RequestType::kTermination);
-  bench.send(termination);
-  CHECK(bench.next_text() ==
+  termination = DiameterClientFixture::credit_control_request(RequestType::kTermination);
+  fixture.send(termination);
+  CHECK(fixture.next_message_text() ==
         "010000844000011000000004aabbccdd11223344\n"          // header
         "000001074000000e74696c6c3b310000\n"                  // Session-Id
         "0000010c4000000c0000138a\n"                          // Result-Code
@@ -180,13 +184,13 @@
 }
 
 TEST_CASE("Diameter client bytes: a call that its server releases is aborted") {
-  DiameterClientBench bench;
-  bench.exchange();
-  auto& server = bench.set_up_that_stands();
-  bench.next_text();
+  DiameterClientFixture fixture;
+  fixture.exchange_capabilities();
+  auto& server = fixture.establish_call();
+  fixture.next_message_text();
   server.stream->send(
-      Bench::sip("BYE sip:77aa@net SIP/2.0", bench.call_id(), "1 BYE", "Reason: Q.850;cause=16\r\n"));
-  CHECK(bench.next_text() ==
+      Bench::sip("BYE sip:77aa@net SIP/2.0", fixture.call_id(), "1 BYE", "Reason: Q.850;cause=16\r\n"));
+  CHECK(fixture.next_message_text() ==
         "01000080c0000112000000040000000100000000\n"          // header
         "000001074000000e74696c6c3b310000\n"                  // Session-Id
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
@@ -197,11 +201,11 @@
   );
 }
 
-TEST_CASE("Diameter client bytes: a call rejected after its time") {
-  DiameterClientBench bench;
-  bench.exchange();
-  bench.set_up("100");
-  CHECK(bench.next_text() ==
+TEST_CASE("Diameter client bytes: a call rejected after its deadline") {
+  DiameterClientFixture fixture;
+  fixture.exchange_capabilities();
+  fixture.send_initial_request("100");
+  CHECK(fixture.next_message_text() ==
         "010000a06000011000000004aabbccdd11223344\n"                  // header
         "000001074000000e74696c6c3b310000\n"                          // Session-Id
         "0000010c4000000c00000bbc\n"                                  // Result-Code
@@ -214,14 +218,14 @@
   );
 }
 
-TEST_CASE("Diameter client bytes: a call rejected by the only server, with the time to stay away") {
-  DiameterClientBench bench;
-  bench.exchange();
-  bench.list();
-  bench.set_up("300");
-  bench.invited(bench.call_id())
-      .stream->send(Bench::sip("SIP/2.0 503 Full", bench.call_id(), "1 INVITE", "X-Diagnosis: atb\r\n"));
-  CHECK(bench.next_text() ==
+TEST_CASE("Diameter client bytes: a call rejected by the only server, with a retry delay") {
+  DiameterClientFixture fixture;
+  fixture.exchange_capabilities();
+  fixture.list();
+  fixture.send_initial_request("300");
+  fixture.invited(fixture.call_id())
+      .stream->send(Bench::sip("SIP/2.0 503 Full", fixture.call_id(), "1 INVITE", "X-Diagnosis: atb\r\n"));
+  CHECK(fixture.next_message_text() ==
         "010000dc6000011000000004aabbccdd11223344\n"                        // header
         "000001074000000e74696c6c3b310000\n"                                // Session-Id
         "0000010c4000000c00000bbc\n"                                        // Result-Code
@@ -239,12 +243,13 @@
 TEST_CASE("Diameter client bytes: a call that failed at its server") {
   auto config = bench_config();
   for (auto& call_class : config.settings.classes) call_class.idempotent = false;
-  DiameterClientBench bench(config);
-  bench.exchange();
-  bench.list();
-  bench.set_up("2000");
-  bench.invited(bench.call_id()).stream->send(Bench::sip("SIP/2.0 500 Error", bench.call_id(), "1 INVITE"));
-  CHECK(bench.next_text() ==
+  DiameterClientFixture fixture(config);
+  fixture.exchange_capabilities();
+  fixture.list();
+  fixture.send_initial_request("2000");
+  fixture.invited(fixture.call_id())
+      .stream->send(Bench::sip("SIP/2.0 500 Error", fixture.call_id(), "1 INVITE"));
+  CHECK(fixture.next_message_text() ==
         "010000a04000011000000004aabbccdd11223344\n"                  // header
         "000001074000000e74696c6c3b310000\n"                          // Session-Id
         "0000010c4000000c00001394\n"                                  // Result-Code
@@ -257,12 +262,13 @@
   );
 }
 
-TEST_CASE("Diameter client bytes: requests with a fault") {
-  DiameterClientBench bench;
-  bench.exchange();
-  auto no_class = DiameterClientBench::credit(RequestType::kInitial, "none@kartu.example");
-  bench.send(no_class);
-  CHECK(bench.next_text() ==
+TEST_CASE("Diameter client bytes: invalid requests") {
+  DiameterClientFixture fixture;
+  fixture.exchange_capabilities();
+  auto unknown_class =
+      DiameterClientFixture::credit_control_request(RequestType::kInitial, "none@kartu.example");
+  fixture.send(unknown_class);
+  CHECK(fixture.next_message_text() ==
         "010000a84000011000000004aabbccdd11223344\n"                                  // header
         "000001074000000e74696c6c3b310000\n"                                          // Session-Id
         "0000010c4000000c0000138c\n"                                                  // Result-Code
@@ -273,9 +279,9 @@
         "000001a04000000c00000001\n"                                                  // CC-Request-Type
         "0000019f4000000c00000007"                                                    // CC-Request-Number
   );
-  auto no_context = DiameterClientBench::credit(RequestType::kInitial, "");
-  bench.send(no_context);
-  CHECK(bench.next_text() ==
+  auto without_context = DiameterClientFixture::credit_control_request(RequestType::kInitial, "");
+  fixture.send(without_context);
+  CHECK(fixture.next_message_text() ==
         "010000944000011000000004aabbccdd11223344\n"          // header
         "000001074000000e74696c6c3b310000\n"                  // Session-Id
         "0000010c4000000c0000138d\n"                          // Result-Code
@@ -286,9 +292,9 @@
         "000001a04000000c00000001\n"                          // CC-Request-Type
         "0000019f4000000c00000007"                            // CC-Request-Number
   );
-  auto no_number = DiameterClientBench::credit(RequestType::kInitial);
-  bench.send(no_number);
-  CHECK(bench.next_text() ==
+  auto without_number = DiameterClientFixture::credit_control_request(RequestType::kInitial);
+  fixture.send(without_number);
+  CHECK(fixture.next_message_text() ==
         "010000944000011000000004aabbccdd11223344\n"          // header
         "000001074000000e74696c6c3b310000\n"                  // Session-Id
         "0000010c4000000c0000138d\n"                          // Result-Code
@@ -299,9 +305,9 @@
         "000001a04000000c00000001\n"                          // CC-Request-Type
         "0000019f4000000c00000007"                            // CC-Request-Number
   );
-  auto other = Writer::request(Command::kCreditControl, 9, kHopByHop, kEndToEnd);
-  bench.send(other);
-  CHECK(bench.next_text() ==
+  auto unknown_application = Writer::request(Command::kCreditControl, 9, kHopByHop, kEndToEnd);
+  fixture.send(unknown_application);
+  CHECK(fixture.next_message_text() ==
         "0100005c6000011000000009aabbccdd11223344\n"          // header
         "0000010c4000000c00000bbf\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
--- a/tests/wire_format_diameter_server_test.cpp
+++ b/tests/wire_format_diameter_server_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of every Diameter message to a session server.
+// Checks the bytes of every Diameter message that the router sends to a session server.
 #include "wire_format_diameter.hpp"
 
 namespace amberknot::tests {
@@ -12,34 +12,34 @@
 
 const std::string kCallId = "9b1f03aa5c7e2d41";
 
-app::OperatorFile setup_with_servers(milliseconds watchdog) {
-  auto file = diameter_setup(watchdog);
+app::OperatorFile operator_file_with_servers(milliseconds watchdog) {
+  auto file = diameter_operator_file(watchdog);
   file.diameter->servers = {"*"};
   return file;
 }
 
-/// A router and its connection to a Diameter server, which says only what the test lets it say.
-struct DiameterServerBench : Bench {
-  explicit DiameterServerBench(milliseconds watchdog = std::chrono::seconds{30})
-      : Bench(setup_with_servers(watchdog)) {
+/// A router and its connection to a Diameter server, which sends only the messages of the test.
+struct DiameterServerFixture : Bench {
+  explicit DiameterServerFixture(milliseconds watchdog = std::chrono::seconds{30})
+      : Bench(operator_file_with_servers(watchdog)) {
     list();
     until([&] { return !server.ends.empty(); });
-    capabilities_request = next();
-    cer_text = text.of(capabilities_request);
-    auto cea = Writer::answer(read_whole(capabilities_request), ResultCode::kSuccess);
+    capabilities_request = next_router_message();
+    capabilities_request_text = formatter.format(capabilities_request);
+    auto cea = Writer::answer(parse_message(capabilities_request), ResultCode::kSuccess);
     send(cea.add(AvpCode::kOriginHost, "s1.acme").add(AvpCode::kOriginRealm, "acme"));
   }
   End& peer() { return *server.ends.back(); }
-  std::string next() { return next_message(*this, peer()); }
-  std::string next_text() { return text.of(next()); }
+  std::string next_router_message() { return next_message(*this, peer()); }
+  std::string next_message_text() { return formatter.format(next_router_message()); }
   void send(Writer& writer) { peer().stream->send(writer.finish()); }
-  /// The request for a call; the last four bytes are its remaining time in milliseconds.
+  /// Opens a call and returns its request, whose last four bytes are the remaining time in milliseconds.
   std::string initial_request() {
     open(kCallId, 5000);
-    return next();
+    return next_router_message();
   }
   void accept(const std::string& request) {
-    auto cca = Writer::answer(read_whole(request), ResultCode::kSuccess);
+    auto cca = Writer::answer(parse_message(request), ResultCode::kSuccess);
     send(cca.add(AvpCode::kOriginHost, "s1.acme").add_parameter(ServiceParameter::kDescription, "sdp"));
     until([&] { return caller->has("\"ready\""); });
   }
@@ -48,15 +48,15 @@
     return Writer::request(command, application, 0xaabbccdd, 0x11223344);
   }
 
-  DiameterText text;
-  std::string capabilities_request, cer_text;
+  DiameterFormatter formatter;
+  std::string capabilities_request, capabilities_request_text;
 };
 
 }  // namespace
 
 TEST_CASE("Diameter server bytes: capabilities exchange, set-up and termination") {
-  DiameterServerBench bench;
-  CHECK(bench.cer_text ==
+  DiameterServerFixture fixture;
+  CHECK(fixture.capabilities_request_text ==
         "0100008c80000101000000000000000100000000\n"          // header
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
         "00000128400000156b617274752e6578616d706c65000000\n"  // Origin-Realm
@@ -66,11 +66,12 @@
         "000001164000000c00000000\n"                          // Origin-State-Id
         "000001024000000c00000004"                            // Auth-Application-Id
   );
-  const auto request = bench.initial_request();
-  auto shown = request;
-  CHECK(shown.substr(shown.size() - 4).find_first_not_of("0123456789") == std::string::npos);
-  shown.replace(shown.size() - 4, 4, "0000");
-  CHECK(bench.text.of(shown) ==
+  const auto request = fixture.initial_request();
+  auto masked_request = request;
+  CHECK(masked_request.substr(masked_request.size() - 4).find_first_not_of("0123456789") ==
+        std::string::npos);
+  masked_request.replace(masked_request.size() - 4, 4, "0000");
+  CHECK(fixture.formatter.format(masked_request) ==
         "01000138c0000110000000040000000200000001\n"  // header
         "00000107400000386e302e6b617274752e6578616d706c653b303030303030303030303b303b303b39623166303361613563"
         "376532643431\n"                                                      // Session-Id
@@ -86,9 +87,9 @@
         "000001b840000020000001b94000000c00000001000001ba4000000c64657363\n"  // Service-Parameter-Info
         "000001b840000020000001b94000000c00000002000001ba4000000c30303030"    // Service-Parameter-Info
   );
-  bench.accept(request);
-  bench.release();
-  CHECK(bench.next_text() ==
+  fixture.accept(request);
+  fixture.release();
+  CHECK(fixture.next_message_text() ==
         "010000e8c0000110000000040000000300000002\n"  // header
         "00000107400000386e302e6b617274752e6578616d706c653b303030303030303030303b303b303b39623166303361613563"
         "376532643431\n"                                                      // Session-Id
@@ -104,11 +105,11 @@
   );
 }
 
-TEST_CASE("Diameter server bytes: a set-up given up is terminated") {
-  DiameterServerBench bench;
-  bench.initial_request();
-  bench.release();
-  CHECK(bench.next_text() ==
+TEST_CASE("Diameter server bytes: a cancelled set-up is terminated") {
+  DiameterServerFixture fixture;
+  fixture.initial_request();
+  fixture.release();
+  CHECK(fixture.next_message_text() ==
         "010000e8c0000110000000040000000300000002\n"  // header
         "00000107400000386e302e6b617274752e6578616d706c653b303030303030303030303b303b303b39623166303361613563"
         "376532643431\n"                                                      // Session-Id
@@ -125,8 +126,8 @@
 }
 
 TEST_CASE("Diameter server bytes: a watchdog request") {
-  DiameterServerBench bench(milliseconds{200});
-  CHECK(bench.next_text() ==
+  DiameterServerFixture fixture(milliseconds{200});
+  CHECK(fixture.next_message_text() ==
         "0100005080000118000000000000000200000001\n"          // header
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
         "00000128400000156b617274752e6578616d706c65000000\n"  // Origin-Realm
@@ -135,12 +136,12 @@
 }
 
 TEST_CASE("Diameter server bytes: a disconnect request") {
-  DiameterServerBench bench;
-  bench.accept(bench.initial_request());
-  bench.release();
-  bench.next();
-  bench.router->shut_down([] {});
-  CHECK(bench.next_text() ==
+  DiameterServerFixture fixture;
+  fixture.accept(fixture.initial_request());
+  fixture.release();
+  fixture.next_router_message();
+  fixture.router->shut_down([] {});
+  CHECK(fixture.next_message_text() ==
         "010000508000011a000000000000000400000003\n"          // header
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
         "00000128400000156b617274752e6578616d706c65000000\n"  // Origin-Realm
@@ -149,30 +150,30 @@
 }
 
 TEST_CASE("Diameter server bytes: answers to watchdog, abort and disconnect requests") {
-  DiameterServerBench bench;
-  const auto ccr = bench.initial_request();
-  bench.accept(ccr);
-  auto dwr = bench.request(Command::kWatchdog, 0);
-  bench.send(dwr.add(AvpCode::kOriginHost, "s1.acme").add(AvpCode::kOriginRealm, "acme"));
-  CHECK(bench.next_text() ==
+  DiameterServerFixture fixture;
+  const auto ccr = fixture.initial_request();
+  fixture.accept(ccr);
+  auto dwr = fixture.request(Command::kWatchdog, 0);
+  fixture.send(dwr.add(AvpCode::kOriginHost, "s1.acme").add(AvpCode::kOriginRealm, "acme"));
+  CHECK(fixture.next_message_text() ==
         "0100005c0000011800000000aabbccdd11223344\n"          // header
         "0000010c4000000c000007d1\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
         "00000128400000156b617274752e6578616d706c65000000\n"  // Origin-Realm
         "000001164000000c00000000"                            // Origin-State-Id
   );
-  auto unknown = bench.request(Command::kAbortSession, 4);
-  bench.send(unknown.add(AvpCode::kSessionId, "none;1"));
-  CHECK(bench.next_text() ==
+  auto unknown_session = fixture.request(Command::kAbortSession, 4);
+  fixture.send(unknown_session.add(AvpCode::kSessionId, "none;1"));
+  CHECK(fixture.next_message_text() ==
         "010000604000011200000004aabbccdd11223344\n"          // header
         "000001074000000e6e6f6e653b310000\n"                  // Session-Id
         "0000010c4000000c0000138a\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
         "00000128400000156b617274752e6578616d706c65000000"    // Origin-Realm
   );
-  auto asr = bench.request(Command::kAbortSession, 4);
-  bench.send(asr.add(AvpCode::kSessionId, read_whole(ccr).text(AvpCode::kSessionId)));
-  CHECK(bench.next_text() ==
+  auto asr = fixture.request(Command::kAbortSession, 4);
+  fixture.send(asr.add(AvpCode::kSessionId, parse_message(ccr).text(AvpCode::kSessionId)));
+  CHECK(fixture.next_message_text() ==
         "010000884000011200000004aabbccdd11223344\n"  // header
         "00000107400000386e302e6b617274752e6578616d706c653b303030303030303030303b303b303b39623166303361613563"
         "376532643431\n"                                      // Session-Id
@@ -180,10 +181,10 @@
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
         "00000128400000156b617274752e6578616d706c65000000"    // Origin-Realm
   );
-  bench.next();  // the termination of what was aborted
-  auto dpr = bench.request(Command::kDisconnect, 0);
-  bench.send(dpr.add(AvpCode::kDisconnectCause, 0U));
-  CHECK(bench.next_text() ==
+  fixture.next_router_message();  // the termination of the aborted session
+  auto dpr = fixture.request(Command::kDisconnect, 0);
+  fixture.send(dpr.add(AvpCode::kDisconnectCause, 0U));
+  CHECK(fixture.next_message_text() ==
         "010000500000011a00000000aabbccdd11223344\n"          // header
         "0000010c4000000c000007d1\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
@@ -191,20 +192,20 @@
   );
 }
 
-TEST_CASE("Diameter server bytes: answers to what is unknown or malformed") {
-  DiameterServerBench bench;
-  bench.accept(bench.initial_request());
-  auto unknown = Writer::request(static_cast<Command>(999), 0, 0xaabbccdd, 0x11223344);
-  bench.send(unknown);
-  CHECK(bench.next_text() ==
+TEST_CASE("Diameter server bytes: answers to unknown and malformed requests") {
+  DiameterServerFixture fixture;
+  fixture.accept(fixture.initial_request());
+  auto unknown_command = Writer::request(static_cast<Command>(999), 0, 0xaabbccdd, 0x11223344);
+  fixture.send(unknown_command);
+  CHECK(fixture.next_message_text() ==
         "01000050200003e700000000aabbccdd11223344\n"          // header
         "0000010c4000000c00000bb9\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
         "00000128400000156b617274752e6578616d706c65000000"    // Origin-Realm
   );
-  auto short_number = bench.request(Command::kWatchdog, 0);
-  bench.send(short_number.add(AvpCode::kOriginStateId, std::string_view("abc")));
-  CHECK(bench.next_text() ==
+  auto short_number = fixture.request(Command::kWatchdog, 0);
+  fixture.send(short_number.add(AvpCode::kOriginStateId, std::string_view("abc")));
+  CHECK(fixture.next_message_text() ==
         "010000640000011800000000aabbccdd11223344\n"          // header
         "0000010c4000000c00001396\n"                          // Result-Code
         "00000108400000186e302e6b617274752e6578616d706c65\n"  // Origin-Host
