--- a/src/directory/tenants.cpp
+++ b/src/directory/tenants.cpp
@@ -9,7 +9,7 @@
 namespace amberknot::directory {
 namespace {
 
-constexpr std::size_t kMaxTenants = 100'000;
+constexpr std::size_t kMaxTenants = 100'000;  // keys in the map
 
 struct Unbind {
   void operator()(LDAP* ldap) const { ldap_unbind_ext_s(ldap, nullptr, nullptr); }
@@ -20,18 +20,18 @@
   void operator()(LDAPMessage* message) const { ldap_msgfree(message); }
 };
 
-timeval as_timeval(std::chrono::milliseconds time) {
+timeval to_timeval(std::chrono::milliseconds time) {
   return {static_cast<time_t>(time.count() / 1000), static_cast<suseconds_t>(time.count() % 1000 * 1000)};
 }
 
-std::vector<std::string> values(LDAP* ldap, LDAPMessage* entry, const std::string& attribute) {
-  std::vector<std::string> texts;
+std::vector<std::string> attribute_values(LDAP* ldap, LDAPMessage* entry, const std::string& attribute) {
+  std::vector<std::string> result;
   berval** found = ldap_get_values_len(ldap, entry, attribute.c_str());
   for (berval** at = found; at != nullptr && *at != nullptr; ++at) {
-    texts.emplace_back((*at)->bv_val, (*at)->bv_len);
+    result.emplace_back((*at)->bv_val, (*at)->bv_len);
   }
   ldap_value_free_len(found);
-  return texts;
+  return result;
 }
 
 std::string first_line(const std::string& path) {
@@ -44,46 +44,47 @@
 }  // namespace
 
 std::optional<TenantMap> read_tenants(const LdapSource& source, std::string& error) {
-  const auto fail = [&](const char* what, int code) {
-    error = std::string(what) + ": " + ldap_err2string(code);
+  const auto fail = [&](const char* operation, int code) {
+    error = std::string(operation) + ": " + ldap_err2string(code);
     return std::nullopt;
   };
-  LDAP* opened = nullptr;
-  if (const int code = ldap_initialize(&opened, source.url.c_str()); code != LDAP_SUCCESS)
+  LDAP* handle = nullptr;
+  if (const int code = ldap_initialize(&handle, source.url.c_str()); code != LDAP_SUCCESS)
     return fail("url", code);
-  const Session ldap(opened);
+  const Session ldap(handle);
   const int version = LDAP_VERSION3;
-  auto limit = as_timeval(source.timeout);
+  auto timeout = to_timeval(source.timeout);
   ldap_set_option(ldap.get(), LDAP_OPT_PROTOCOL_VERSION, &version);
-  ldap_set_option(ldap.get(), LDAP_OPT_NETWORK_TIMEOUT, &limit);
-  ldap_set_option(ldap.get(), LDAP_OPT_TIMEOUT, &limit);
+  ldap_set_option(ldap.get(), LDAP_OPT_NETWORK_TIMEOUT, &timeout);
+  ldap_set_option(ldap.get(), LDAP_OPT_TIMEOUT, &timeout);
   ldap_set_option(ldap.get(), LDAP_OPT_REFERRALS, LDAP_OPT_OFF);
 
   std::string password = source.password_file.empty() ? std::string() : first_line(source.password_file);
   berval credentials{password.size(), password.data()};
-  const int bound = ldap_sasl_bind_s(ldap.get(), source.bind_dn.empty() ? nullptr : source.bind_dn.c_str(),
-                                     LDAP_SASL_SIMPLE, &credentials, nullptr, nullptr, nullptr);
-  if (bound != LDAP_SUCCESS) return fail("bind", bound);
+  const int bind_code =
+      ldap_sasl_bind_s(ldap.get(), source.bind_dn.empty() ? nullptr : source.bind_dn.c_str(),
+                       LDAP_SASL_SIMPLE, &credentials, nullptr, nullptr, nullptr);
+  if (bind_code != LDAP_SUCCESS) return fail("bind", bind_code);
 
   std::string key = source.key_attribute;
   std::string tenant = source.tenant_attribute;
   char* attributes[] = {key.data(), tenant.data(), nullptr};
   LDAPMessage* found = nullptr;
-  const int searched =
+  const int search_code =
       ldap_search_ext_s(ldap.get(), source.base.c_str(), LDAP_SCOPE_SUBTREE, source.filter.c_str(),
-                        attributes, 0, nullptr, nullptr, &limit, LDAP_NO_LIMIT, &found);
-  const std::unique_ptr<LDAPMessage, FreeMessage> held(found);
-  // A partial result is no good copy: half the tenants would be strangers.
-  if (searched != LDAP_SUCCESS) return fail("search", searched);
+                        attributes, 0, nullptr, nullptr, &timeout, LDAP_NO_LIMIT, &found);
+  const std::unique_ptr<LDAPMessage, FreeMessage> found_owner(found);
+  // A partial result is rejected: clients that it misses would be taken for unknown.
+  if (search_code != LDAP_SUCCESS) return fail("search", search_code);
 
   TenantMap tenants;
   for (auto* entry = ldap_first_entry(ldap.get(), found); entry != nullptr;
        entry = ldap_next_entry(ldap.get(), entry)) {
-    const auto names = values(ldap.get(), entry, tenant);
+    const auto names = attribute_values(ldap.get(), entry, tenant);
     if (names.empty()) continue;
-    for (auto& one : values(ldap.get(), entry, key)) {
+    for (auto& key_value : attribute_values(ldap.get(), entry, key)) {
       if (tenants.size() >= kMaxTenants) return fail("search", LDAP_SIZELIMIT_EXCEEDED);
-      tenants[std::move(one)] = names.front();
+      tenants[std::move(key_value)] = names.front();
     }
   }
   return tenants;
@@ -95,7 +96,7 @@
 Refresher::~Refresher() {
   {
     const std::lock_guard lock(mutex_);
-    stop_ = true;
+    is_stopping_ = true;
   }
   wake_.notify_all();
   thread_.join();
@@ -103,7 +104,7 @@
 
 void Refresher::run() {
   std::unique_lock lock(mutex_);
-  while (!wake_.wait_for(lock, source_.refresh, [this] { return stop_; })) {
+  while (!wake_.wait_for(lock, source_.refresh, [this] { return is_stopping_; })) {
     lock.unlock();
     std::string error;
     auto tenants = read_tenants(source_, error);
--- a/src/directory/tenants.hpp
+++ b/src/directory/tenants.hpp
@@ -1,5 +1,5 @@
-// Tenants by what a Diameter client is known under, from an LDAP directory: read at the start, refreshed off
-// the call path, and kept as they were when the directory fails.
+// Maps Diameter clients to tenants by means of an LDAP directory. The directory is read at the start and
+// refreshed off the call path; the last copy is kept when a refresh fails.
 #pragma once
 
 #include <chrono>
@@ -15,24 +15,28 @@
 
 namespace amberknot::directory {
 
+/// Tenant names by the name of the client.
 using TenantMap = std::map<std::string, std::string, std::less<>>;
 
+/// The directory and the search in it.
 struct LdapSource {
-  std::string url;
-  std::string base;
+  std::string url;   ///< ldap:// or ldaps://
+  std::string base;  ///< distinguished name of the subtree to search
   std::string filter = "(objectClass=*)";
-  std::string bind_dn;        ///< empty: anonymous
-  std::string password_file;  ///< read at each refresh, so that a password can be changed
-  std::string key_attribute;
-  std::string tenant_attribute;
-  std::chrono::milliseconds timeout{2000};
-  std::chrono::milliseconds refresh{60'000};
+  std::string bind_dn;        ///< empty for an anonymous bind
+  std::string password_file;  ///< its first line is read at each refresh, so that the password can be changed
+  std::string key_attribute;  ///< holds the names of a client; each of its values is a key
+  std::string tenant_attribute;               ///< holds the tenant; the first value counts
+  std::chrono::milliseconds timeout{2000};    ///< for each operation
+  std::chrono::milliseconds refresh{60'000};  ///< time between two reads
 };
 
-/// One whole read of the directory. Empty, with the reason in `error`: it failed, in part or whole.
+/// Reads the whole directory; blocks. Returns nullopt and sets `error` if the read failed or its result is
+/// incomplete.
 std::optional<TenantMap> read_tenants(const LdapSource& source, std::string& error);
 
-/// Reads again and again on a thread of its own. The callback is called from that thread.
+/// Reads the directory at intervals on its own thread, on which the callback is called, too. The destructor
+/// waits for a read that is in progress.
 class Refresher {
  public:
   using OnRead = std::function<void(std::optional<TenantMap> tenants, const std::string& error)>;
@@ -47,7 +51,7 @@
   OnRead on_read_;
   std::mutex mutex_;
   std::condition_variable wake_;
-  bool stop_ = false;
+  bool is_stopping_ = false;
   std::thread thread_;
 };
 
--- a/src/iso8583/codec.hpp
+++ b/src/iso8583/codec.hpp
@@ -1,6 +1,6 @@
-// ISO 8583:1987 as old tills speak it: a length of two bytes, high one first, then the message type in four
-// digits, bitmaps of eight bytes each and the data elements in ASCII. Pure functions over a buffer; texts are
-// views into it.
+// Codec for ISO 8583:1987 messages as older payment terminals send them: a length of two bytes in network
+// byte order, the message type in four digits, bitmaps of eight bytes each and the data elements in ASCII.
+// All functions are pure; the texts of a parsed message are views of the buffer.
 #pragma once
 
 #include <array>
@@ -13,39 +13,41 @@
 
 namespace amberknot::iso8583 {
 
+/// The highest number of a data element.
 inline constexpr std::size_t kElements = 128;
 
-/// How a data element is written (ISO 8583:1987, table 2).
+/// The format of a data element (ISO 8583:1987, table 2).
 struct Element {
   enum class Kind : std::uint8_t {
-    kDigits,  ///< n
-    kAlnum,   ///< a, an: letters, digits and blanks
-    kText,    ///< ans: printable, blanks included
-    kTrack,   ///< z: digits and separators of a magnetic stripe
+    kDigits,  ///< n: digits
+    kAlnum,   ///< a, an: letters, digits and spaces
+    kText,    ///< ans: any character but NUL and DEL
+    kTrack,   ///< z: track data of a magnetic stripe
     kSigned,  ///< x + n: C or D, then digits
-    kBytes,   ///< b
-    kNone,    ///< not of this standard, or a bitmap
+    kBytes,   ///< b: binary
+    kNone,    ///< not defined by the standard, or a bitmap
   };
   Kind kind = Kind::kNone;
-  std::uint8_t prefix = 0;  ///< digits of the length in front; zero: fixed
-  std::uint16_t most = 0;   ///< characters; for a fixed one just so many
+  std::uint8_t length_digits = 0;  ///< digits of the length field; zero if the length is fixed
+  std::uint16_t max_length = 0;    ///< maximum length in characters, or the fixed length
 };
+/// Returns the format of an element; a number above kElements gives that of the last element.
 const Element& element(std::size_t number);
 
-/// Elements that hold a card number or a track, and are never logged, counted or shown: 2, 35, 36, 45; 34 is
-/// an extended account number; 52 a PIN block.
+/// Returns true for elements with confidential data, which must not be logged, counted or shown: card number
+/// (2), extended account number (34), tracks (35, 36, 45) and PIN block (52).
 bool is_secret(std::size_t number);
 
-/// The message type: version 0 (1987), class, function, origin.
+/// The message type indicator: one digit each for version (0 for 1987), class, function and origin.
 struct Mti {
-  std::uint16_t code = 0;  ///< as 0x0200
+  std::uint16_t code = 0;  ///< one digit per four bits, for example 0x0200
 
   [[nodiscard]] unsigned message_class() const { return code >> 8U & 0xfU; }
   [[nodiscard]] unsigned function() const { return code >> 4U & 0xfU; }
-  /// xxx1: the same message sent again.
+  /// Returns true for xxx1, a repeated message.
   [[nodiscard]] bool is_repeat() const { return (code & 1U) != 0; }
   [[nodiscard]] bool is_request() const { return function() % 2 == 0; }
-  /// Of the answer to this request, a repeat's too.
+  /// Returns the type of the answer to this request; it is the same for a repeated request.
   [[nodiscard]] Mti answer() const { return {static_cast<std::uint16_t>((code & 0xfffeU) + 0x10U)}; }
   friend bool operator==(Mti, Mti) = default;
 };
@@ -53,11 +55,14 @@
     kFinancialAnswer{0x0210}, kReversal{0x0400}, kReversalAnswer{0x0410}, kReversalAdvice{0x0420},
     kReversalAdviceAnswer{0x0430}, kNetwork{0x0800}, kNetworkAnswer{0x0810};
 
+/// A message: its type and the texts of its elements. The texts are views, whose bytes the caller keeps
+/// alive.
 class Message {
  public:
   Mti mti;
 
   [[nodiscard]] bool has(std::size_t number) const { return present_.test(number); }
+  /// Returns the text of an element, empty if it is absent.
   [[nodiscard]] std::string_view text(std::size_t number) const {
     return has(number) ? texts_[number] : std::string_view();
   }
@@ -72,34 +77,42 @@
   std::array<std::string_view, kElements + 1> texts_{};
 };
 
-/// A frame out of a stream of bytes.
+/// The result of read_frame().
 struct Frame {
   enum class State : std::uint8_t { kMore, kWhole, kBad };
   State state = State::kMore;
-  std::string_view body;  ///< kWhole; empty: a sign of life, which wants no answer
-  std::size_t size = 0;   ///< of the whole frame
+  std::string_view body;  ///< set if kWhole; an empty body is a keep-alive, which is not answered
+  std::size_t size = 0;   ///< bytes of the whole frame, with its length field
 };
-/// kBad: longer than `most`, of which nothing more can be believed.
-Frame read_frame(std::string_view bytes, std::size_t most);
+/// Reads the first frame of a stream. The state is kMore if the frame is incomplete, and kBad if its body is
+/// longer than `max_length` bytes: then the stream cannot be read any further.
+Frame read_frame(std::string_view bytes, std::size_t max_length);
 
-/// What is wrong with a message.
+/// An error in a message.
 struct Fault {
-  std::size_t element = 0;  ///< zero: the type; one: a bitmap
-  enum class What : std::uint8_t { kCutShort, kNotOfTheStandard, kTooLong, kBadCharacter, kRest } what{};
+  std::size_t element = 0;  ///< zero for the message type, one for a bitmap
+  enum class Reason : std::uint8_t {
+    kTruncated,
+    kUndefined,
+    kTooLong,
+    kInvalidCharacter,
+    kTrailingData
+  } reason{};
 };
-std::string_view text_of(Fault::What what);
+/// Returns a description of the error, to be put after the name of the element.
+std::string_view text_of(Fault::Reason reason);
 
-/// Empty: `to` holds the message. With a fault it holds what was read before it, so that the sender may be
-/// told.
+/// Parses a message and returns nullopt if it is valid. If there is a fault, `to` holds the elements before
+/// it, so that the sender can be answered.
 std::optional<Fault> read(std::string_view body, Message& to);
 
-/// The whole frame. Fixed elements are filled up: digits with zeros in front, texts with blanks behind.
-/// Empty: an element cannot hold what was set (a fault of the caller), or the message would be longer than a
-/// length can say.
+/// Returns the message as a frame with its length field. Elements of fixed length are padded: digits with
+/// leading zeros, texts with trailing spaces. Returns an empty string if an element does not allow its text,
+/// which is an error of the caller, or if the message is too long for the length field.
 std::string write(const Message& message);
 
-/// The message for a log: its type and elements with their lengths, and the values of those that are no
-/// secret.
+/// Describes a message for the log: its type and, for each element, the value or only its length. The values
+/// of elements that are or may be confidential are not shown.
 std::string describe(const Message& message);
 
 }  // namespace amberknot::iso8583
--- a/tests/directory_test.cpp
+++ b/tests/directory_test.cpp
@@ -1,4 +1,4 @@
-// The tenants' directory against a stand-in LDAP server that knows bind, search and nothing else.
+// Tests of the tenant directory against a minimal LDAP server, which supports bind and search only.
 #include <lber.h>
 
 #include <array>
@@ -14,15 +14,16 @@
 
 namespace {
 
-/// Serves on a thread of its own, as the directory is read in blocking style.
-class LdapStandIn {
+/// An LDAP server with one entry. It runs on its own thread because the directory is read with blocking
+/// calls.
+class LdapTestServer {
  public:
-  LdapStandIn() : acceptor_(io_, {asio::ip::make_address("127.0.0.1"), 0}), thread_([this] { serve(); }) {}
-  ~LdapStandIn() {
-    stop_ = true;
+  LdapTestServer() : acceptor_(io_, {asio::ip::make_address("127.0.0.1"), 0}), thread_([this] { serve(); }) {}
+  ~LdapTestServer() {
+    is_stopping_ = true;
     asio::error_code ignored;
-    asio::ip::tcp::socket knock(io_);
-    knock.connect(acceptor_.local_endpoint(), ignored);
+    asio::ip::tcp::socket wake_up_connection(io_);
+    wake_up_connection.connect(acceptor_.local_endpoint(), ignored);
     thread_.join();
   }
   [[nodiscard]] LdapSource source() const {
@@ -34,8 +35,8 @@
     source.timeout = milliseconds{1000};
     return source;
   }
-  std::atomic<int> result{0};        ///< of the search
-  std::atomic<bool> renamed{false};  ///< what it holds has changed
+  std::atomic<int> search_result{0};           ///< LDAP result code of a search
+  std::atomic<bool> is_tenant_renamed{false};  ///< true after the tenant of the entry has changed
 
  private:
   void serve() {
@@ -43,19 +44,19 @@
       asio::error_code error;
       asio::ip::tcp::socket socket(io_);
       acceptor_.accept(socket, error);
-      if (stop_ || error) return;
+      if (is_stopping_ || error) return;
       std::array<char, 4096> in{};
-      for (std::size_t got = socket.read_some(asio::buffer(in), error); !error;
-           got = socket.read_some(asio::buffer(in), error)) {
-        const auto reply = answer(in.data(), got);
+      for (std::size_t size = socket.read_some(asio::buffer(in), error); !error;
+           size = socket.read_some(asio::buffer(in), error)) {
+        const auto reply = answer(in.data(), size);
         if (reply.empty()) break;
         asio::write(socket, asio::buffer(reply), error);
       }
     }
   }
   std::string answer(char* bytes, std::size_t size) {
-    berval raw{size, bytes};
-    BerElement* in = ber_init(&raw);
+    berval request{size, bytes};
+    BerElement* in = ber_init(&request);
     ber_int_t id = 0;
     ber_tag_t operation = 0;
     ber_len_t length = 0;
@@ -63,72 +64,72 @@
     operation = ber_peek_tag(in, &length);
     ber_free(in, 1);
     constexpr ber_tag_t kBind = 0x60, kSearch = 0x63;
-    if (operation == kBind) return done(id, 0x61, 0);
+    if (operation == kBind) return result_message(id, 0x61, 0);
     if (operation != kSearch) return {};
-    std::string reply = entry(id, "toko.example", renamed ? "beta" : "acme");
-    return reply + done(id, 0x65, result);
+    std::string reply = entry_message(id, "toko.example", is_tenant_renamed ? "beta" : "acme");
+    return reply + result_message(id, 0x65, search_result);
   }
-  static std::string taken(BerElement* out) {
-    berval* flat = nullptr;
-    ber_flatten(out, &flat);
-    std::string bytes(flat->bv_val, flat->bv_len);
-    ber_bvfree(flat);
+  static std::string take_bytes(BerElement* out) {
+    berval* encoded = nullptr;
+    ber_flatten(out, &encoded);
+    std::string bytes(encoded->bv_val, encoded->bv_len);
+    ber_bvfree(encoded);
     ber_free(out, 1);
     return bytes;
   }
-  static std::string done(ber_int_t id, ber_tag_t tag, ber_int_t result) {
+  static std::string result_message(ber_int_t id, ber_tag_t tag, ber_int_t result) {
     BerElement* out = ber_alloc_t(LBER_USE_DER);
     ber_printf(out, "{it{ess}}", id, tag, result, "", "");
-    return taken(out);
+    return take_bytes(out);
   }
-  static std::string entry(ber_int_t id, const char* domain, const char* tenant) {
+  static std::string entry_message(ber_int_t id, const char* domain, const char* tenant) {
     BerElement* out = ber_alloc_t(LBER_USE_DER);
     ber_printf(out, "{it{s{{s[s]}{s[s]}}}}", id, ber_tag_t{0x64}, "o=x,dc=example", "associatedDomain",
                domain, "o", tenant);
-    return taken(out);
+    return take_bytes(out);
   }
 
   asio::io_context io_;
   asio::ip::tcp::acceptor acceptor_;
-  std::atomic<bool> stop_{false};
+  std::atomic<bool> is_stopping_{false};
   std::thread thread_;
 };
 
 }  // namespace
 
-TEST_CASE("tenants are read from the directory, and a failed read is no copy at all") {
-  LdapStandIn server;
+TEST_CASE("tenants are read from the directory, and an incomplete read is rejected") {
+  LdapTestServer server;
   std::string error;
   const auto tenants = directory::read_tenants(server.source(), error);
   CAPTURE(error);
   REQUIRE(tenants);
   CHECK(*tenants == directory::TenantMap{{"toko.example", "acme"}});
-  server.result = 4;  // size limit exceeded: only a part came
+  server.search_result = 4;  // sizeLimitExceeded: the result is incomplete
   CHECK_FALSE(directory::read_tenants(server.source(), error));
   CHECK(error.rfind("search", 0) == 0);
-  auto nobody = server.source();
-  nobody.url = "ldap://127.0.0.1:1";
-  CHECK_FALSE(directory::read_tenants(nobody, error));
+  auto unreachable_source = server.source();
+  unreachable_source.url = "ldap://127.0.0.1:1";
+  CHECK_FALSE(directory::read_tenants(unreachable_source, error));
   CHECK(error.rfind("bind", 0) == 0);
 }
 
-TEST_CASE("the directory is read again off the call path, and the last good copy is kept when that fails") {
-  LdapStandIn server;
-  app::OperatorFile setup;
-  setup.diameter.emplace();
-  setup.diameter->origin_host = "n0";
-  setup.diameter->origin_realm = "kartu.example";
-  setup.diameter->listen = asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0);
-  setup.ldap = server.source();
-  setup.ldap->refresh = milliseconds{30};
-  Bench bench(setup);
+TEST_CASE("the directory is refreshed in the background, and the last good copy is kept when that fails") {
+  LdapTestServer server;
+  app::OperatorFile file;
+  file.diameter.emplace();
+  file.diameter->origin_host = "n0";
+  file.diameter->origin_realm = "kartu.example";
+  file.diameter->listen = asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0);
+  file.ldap = server.source();
+  file.ldap->refresh = milliseconds{30};
+  Bench bench(file);
   CHECK(bench.router->tenant_of("toko.example") == "acme");
-  CHECK(bench.router->tenant_of("pasar") == "pasar");  // not listed: its own name
-  server.result = 52;                                  // unavailable
-  const auto failed = bench.router->counters().directory_failures;
-  bench.until([&] { return bench.router->counters().directory_failures > failed + 1; });
+  CHECK(bench.router->tenant_of("pasar") == "pasar");  // a name that is not listed stands for itself
+  server.search_result = 52;                           // LDAP result code: unavailable
+  const auto previous_failures = bench.router->counters().directory_failures;
+  bench.until([&] { return bench.router->counters().directory_failures > previous_failures + 1; });
   CHECK(bench.router->tenant_of("toko.example") == "acme");
-  server.renamed = true;
-  server.result = 0;
+  server.is_tenant_renamed = true;
+  server.search_result = 0;
   bench.until([&] { return bench.router->tenant_of("toko.example") == "beta"; });
 }
--- a/tests/iso8583_test.cpp
+++ b/tests/iso8583_test.cpp
@@ -1,4 +1,5 @@
-// ISO 8583: tables of messages, and properties of reading and writing.
+// Tests of the ISO 8583 codec: examples of valid and invalid messages, and random messages that are written
+// and read back.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -12,20 +13,20 @@
   return frame.substr(2);
 }
 
-/// Bytes written as hex between texts: "0200" "{7000...}".
-std::string bytes(const std::string& hex) {
-  std::string made;
+/// Converts hex digits to bytes.
+std::string bytes_from_hex(const std::string& hex) {
+  std::string bytes;
   for (std::size_t i = 0; i + 1 < hex.size(); i += 2)
-    made += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
-  return made;
+    bytes += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
+  return bytes;
 }
 
 }  // namespace
 
-TEST_CASE("a request of a till is read as the standard writes it") {
+TEST_CASE("a terminal's request is read in the format of the standard") {
   // Elements 3, 4, 11, 41 and 102: bits 3, 4, 11, 41 of the first map, 102 of the second.
-  const std::string body = "0200" + bytes("b020000000800000") + bytes("0000000004000000") + "310000" +
-                           "000000050000" + "000123" + "TERM0001" + "0677aabb";
+  const std::string body = "0200" + bytes_from_hex("b020000000800000") + bytes_from_hex("0000000004000000") +
+                           "310000" + "000000050000" + "000123" + "TERM0001" + "0677aabb";
   Message message;
   REQUIRE_FALSE(read(body, message));
   CHECK(message.mti == kFinancial);
@@ -38,7 +39,7 @@
   CHECK(body_of(write(message)) == body);
 }
 
-TEST_CASE("message types") {
+TEST_CASE("message types tell class, function and answer type") {
   CHECK(kFinancial.answer() == kFinancialAnswer);
   CHECK(Mti{0x0201}.answer() == kFinancialAnswer);
   CHECK(Mti{0x0421}.answer() == kReversalAdviceAnswer);
@@ -49,52 +50,58 @@
   CHECK(kNetwork.answer() == kNetworkAnswer);
 }
 
-TEST_CASE("a message with a fault is refused, and the element named") {
-  using What = Fault::What;
+TEST_CASE("an invalid message is rejected with the element that is wrong") {
+  using Reason = Fault::Reason;
   struct Case {
-    const char* what;
+    const char* name;
     std::string body;
     std::size_t element;
-    What fault;
+    Reason fault;
   };
-  const std::string none = bytes("0000000000000000");
+  const std::string empty_bitmap = bytes_from_hex("0000000000000000");
   const std::vector<Case> cases = {
-      {"nothing", "", 0, What::kCutShort},
-      {"half a type", "02", 0, What::kCutShort},
-      {"letters in the type", "02A0" + none, 0, What::kBadCharacter},
-      {"another standard", "1200" + none, 0, What::kNotOfTheStandard},
-      {"no bitmap", "0200", 1, What::kCutShort},
-      {"half a second bitmap", "0200" + bytes("8000000000000000") + "abc", 1, What::kCutShort},
-      {"an element that is none", "0200" + bytes("8000000000000000") + bytes("8000000000000000"), 65,
-       What::kNotOfTheStandard},
-      {"digits that are none", "0200" + bytes("2000000000000000") + "31000x", 3, What::kBadCharacter},
-      {"a fixed one cut short", "0200" + bytes("2000000000000000") + "3100", 3, What::kCutShort},
-      {"a length that is none", "0200" + bytes("0000000100000000") + "x1" + "1", 32, What::kBadCharacter},
-      {"a length over the most", "0200" + bytes("0000000100000000") + "12" + "123456789012", 32,
-       What::kTooLong},
-      {"a length over the rest", "0200" + bytes("0000000100000000") + "11" + "1234", 32, What::kCutShort},
-      {"no length", "0200" + bytes("0000000100000000") + "1", 32, What::kCutShort},
-      {"a zero byte in a text", "0200" + bytes("0000000000800000") + std::string("TERM\0001xx", 8), 41,
-       What::kBadCharacter},
-      {"something behind", "0200" + bytes("2000000000000000") + "310000!", 128, What::kRest},
+      {"empty message", "", 0, Reason::kTruncated},
+      {"incomplete type", "02", 0, Reason::kTruncated},
+      {"letters in the type", "02A0" + empty_bitmap, 0, Reason::kInvalidCharacter},
+      {"another version of the standard", "1200" + empty_bitmap, 0, Reason::kUndefined},
+      {"no bitmap", "0200", 1, Reason::kTruncated},
+      {"incomplete second bitmap", "0200" + bytes_from_hex("8000000000000000") + "abc", 1,
+       Reason::kTruncated},
+      {"undefined element", "0200" + bytes_from_hex("8000000000000000") + bytes_from_hex("8000000000000000"),
+       65, Reason::kUndefined},
+      {"letter in a digits element", "0200" + bytes_from_hex("2000000000000000") + "31000x", 3,
+       Reason::kInvalidCharacter},
+      {"truncated element of fixed length", "0200" + bytes_from_hex("2000000000000000") + "3100", 3,
+       Reason::kTruncated},
+      {"letter in a length", "0200" + bytes_from_hex("0000000100000000") + "x1" + "1", 32,
+       Reason::kInvalidCharacter},
+      {"length over the maximum", "0200" + bytes_from_hex("0000000100000000") + "12" + "123456789012", 32,
+       Reason::kTooLong},
+      {"length over the remaining bytes", "0200" + bytes_from_hex("0000000100000000") + "11" + "1234", 32,
+       Reason::kTruncated},
+      {"truncated length", "0200" + bytes_from_hex("0000000100000000") + "1", 32, Reason::kTruncated},
+      {"a zero byte in a text", "0200" + bytes_from_hex("0000000000800000") + std::string("TERM\0001xx", 8),
+       41, Reason::kInvalidCharacter},
+      {"data after the last element", "0200" + bytes_from_hex("2000000000000000") + "310000!", 128,
+       Reason::kTrailingData},
   };
-  for (const auto& one : cases) {
-    CAPTURE(one.what);
+  for (const auto& test_case : cases) {
+    CAPTURE(test_case.name);
     Message message;
-    const auto fault = read(one.body, message);
+    const auto fault = read(test_case.body, message);
     REQUIRE(fault);
-    CHECK(fault->element == one.element);
-    CHECK(fault->what == one.fault);
-    CHECK_FALSE(text_of(fault->what).empty());
+    CHECK(fault->element == test_case.element);
+    CHECK(fault->reason == test_case.fault);
+    CHECK_FALSE(text_of(fault->reason).empty());
   }
-  // What was read before the fault is there: the sender can be told which request it was.
+  // The elements before the fault are kept, so that the answer can name the request.
   Message message;
-  const std::string cut = "0200" + bytes("0020000000800000") + "000123" + "TERM";
+  const std::string cut = "0200" + bytes_from_hex("0020000000800000") + "000123" + "TERM";
   REQUIRE(read(cut, message));
   CHECK(message.text(11) == "000123");
 }
 
-TEST_CASE("frames are cut out of whatever arrives") {
+TEST_CASE("frames are read from a stream of bytes") {
   using State = Frame::State;
   const std::string frame = std::string("\x00\x03", 2) + "abc";
   for (std::size_t i = 0; i < frame.size(); ++i)
@@ -109,17 +116,17 @@
   CHECK(read_frame("GET / HTTP/1.1", 16 * 1024).state == State::kBad);
 }
 
-TEST_CASE("elements are filled up, and what they cannot hold is not written") {
+TEST_CASE("elements are padded, and a message with an invalid element is not written") {
   Message message;
   message.mti = kFinancialAnswer;
   message.set(4, "500");
   message.set(41, "T1");
   message.set(39, "00");
-  Message back;
+  Message decoded;
   const auto body = body_of(write(message));
-  REQUIRE_FALSE(read(body, back));
-  CHECK(back.text(4) == "000000000500");
-  CHECK(back.text(41) == "T1      ");
+  REQUIRE_FALSE(read(body, decoded));
+  CHECK(decoded.text(4) == "000000000500");
+  CHECK(decoded.text(41) == "T1      ");
   for (const auto& [number, text] :
        std::vector<std::pair<std::size_t, std::string>>{{4, "1234567890123"},
                                                         {4, "12a"},
@@ -128,13 +135,13 @@
                                                         {28, "50000000"},
                                                         {48, std::string(1000, 'x')}}) {
     CAPTURE(number);
-    auto bad = message;
-    bad.set(number, text);
-    CHECK(write(bad).empty());
+    auto invalid = message;
+    invalid.set(number, text);
+    CHECK(write(invalid).empty());
   }
 }
 
-TEST_CASE("no card number, track or PIN is ever described") {
+TEST_CASE("a description shows no card number, track or PIN") {
   Message message;
   message.mti = kFinancial;
   const std::string card = "4111111111111111";
@@ -152,19 +159,20 @@
   CHECK(text.rfind("0200 2=<16>", 0) == 0);
 }
 
-TEST_CASE("what is written is read back the same, and no bytes upset the reader") {
+TEST_CASE("a written message is read back unchanged, and arbitrary bytes are read or rejected") {
   CHECK(rc::check("round trip", [] {
     Message message;
     message.mti = *rc::gen::element(kAuthorization, kFinancial, kReversal, kReversalAdvice, kNetwork);
     std::vector<std::string> texts(kElements + 1);
     for (std::size_t number = 2; number <= kElements; ++number) {
-      const auto& spec = element(number);
-      if (spec.kind == Element::Kind::kNone || *rc::gen::inRange(0, 8) != 0) continue;
-      const bool fixed = spec.prefix == 0;
-      const auto size =
-          fixed ? spec.most : *rc::gen::inRange<std::size_t>(0, std::min<std::size_t>(spec.most, 60) + 1);
+      const auto& format = element(number);
+      if (format.kind == Element::Kind::kNone || *rc::gen::inRange(0, 8) != 0) continue;
+      const bool has_fixed_length = format.length_digits == 0;
+      const auto size = has_fixed_length ? format.max_length
+                                         : *rc::gen::inRange<std::size_t>(
+                                               0, std::min<std::size_t>(format.max_length, 60) + 1);
       texts[number] = *rc::gen::container<std::string>(size, rc::gen::inRange('0', ':'));
-      if (spec.kind == Element::Kind::kSigned) texts[number][0] = 'D';
+      if (format.kind == Element::Kind::kSigned) texts[number][0] = 'D';
       message.set(number, texts[number]);
     }
     const auto frame = write(message);
@@ -172,17 +180,20 @@
     const auto read_back = read_frame(frame, 0xffff);
     RC_ASSERT((read_back.state == Frame::State::kWhole));
     RC_ASSERT((read_back.size == frame.size()));
-    Message back;
-    RC_ASSERT((!read(read_back.body, back).has_value()));
+    Message decoded;
+    RC_ASSERT((!read(read_back.body, decoded).has_value()));
     for (std::size_t number = 2; number <= kElements; ++number) {
-      RC_ASSERT((back.has(number) == message.has(number)));
-      RC_ASSERT((back.text(number) == message.text(number)));
+      RC_ASSERT((decoded.has(number) == message.has(number)));
+      RC_ASSERT((decoded.text(number) == message.text(number)));
     }
-    // Any byte changed, any length: read, or a fault; and what is read is written the same.
-    auto other = body_of(frame);
-    other[*rc::gen::inRange<std::size_t>(0, other.size())] = static_cast<char>(*rc::gen::inRange(0, 256));
-    other.resize(*rc::gen::inRange<std::size_t>(0, other.size() + 1));
-    Message odd;
-    if (!read(other, odd)) RC_ASSERT((body_of(write(odd)).size() <= other.size() + 8));
+    // After a change of one byte and of the length, the bytes are read or rejected; a message that is read
+    // can be written again.
+    auto changed_body = body_of(frame);
+    changed_body[*rc::gen::inRange<std::size_t>(0, changed_body.size())] =
+        static_cast<char>(*rc::gen::inRange(0, 256));
+    changed_body.resize(*rc::gen::inRange<std::size_t>(0, changed_body.size() + 1));
+    Message changed_message;
+    if (!read(changed_body, changed_message))
+      RC_ASSERT((body_of(write(changed_message)).size() <= changed_body.size() + 8));
   }));
 }
--- a/tests/wire_format_iso8583_test.cpp
+++ b/tests/wire_format_iso8583_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of ISO 8583 messages, one element of each kind and each form of a length.
+// Checks the bytes of ISO 8583 messages with elements of each format and each form of a length.
 #include <doctest/doctest.h>
 
 #include "iso8583/codec.hpp"
@@ -11,11 +11,11 @@
   message.mti = iso8583::kFinancialAnswer;
   message.set(2, "6012345678901234");  // LLVAR digits
   message.set(3, "310000");            // fixed digits
-  message.set(4, "50000");             // fixed digits, filled up with zeros
+  message.set(4, "50000");             // fixed digits, padded with zeros
   message.set(11, "000123");
   message.set(28, "D00000123");              // a sign and digits
   message.set(35, "6012345678901234=2512");  // LLVAR track
-  message.set(37, "REF1");                   // fixed letters and digits, filled up with blanks
+  message.set(37, "REF1");                   // fixed letters and digits, padded with spaces
   message.set(39, "00");
   message.set(41, "TERM0001");
   message.set(44, "v=0\r\nx");  // LLVAR text
@@ -35,7 +35,7 @@
   iso8583::Message message;
   message.mti = iso8583::kReversalAdvice;
   message.set(11, "000123");
-  message.set(90, "020000012312020546");  // filled up to 42 digits
+  message.set(90, "020000012312020546");  // padded to 42 digits
   message.set(102, "77aa");
   message.set(128, "macmacma");
   CHECK(hex_of(iso8583::write(message)) ==
@@ -47,7 +47,7 @@
   );
 }
 
-TEST_CASE("ISO 8583 bytes: each message type") {
+TEST_CASE("ISO 8583 bytes: the digits of each message type") {
   struct Case {
     iso8583::Mti type;
     const char* text;
@@ -59,10 +59,10 @@
       {iso8583::kReversalAdvice, "0420"}, {iso8583::kReversalAdviceAnswer, "0430"},
       {iso8583::kNetwork, "0800"},        {iso8583::kNetworkAnswer, "0810"},
   };
-  for (const auto& one : cases) {
+  for (const auto& test_case : cases) {
     iso8583::Message message;
-    message.mti = one.type;
-    CHECK(iso8583::write(message) == std::string("\0\x0c", 2) + one.text + std::string(8, '\0'));
+    message.mti = test_case.type;
+    CHECK(iso8583::write(message) == std::string("\0\x0c", 2) + test_case.text + std::string(8, '\0'));
   }
 }
 
