--- a/src/translate/canonical.cpp
+++ b/src/translate/canonical.cpp
@@ -11,7 +11,7 @@
     "amount", "currency", "local-time", "region",   "cause",    "reason"};
 
 template <typename Enum, std::size_t N>
-std::optional<Enum> find(const std::array<std::string_view, N>& names, std::string_view name) {
+std::optional<Enum> find_by_name(const std::array<std::string_view, N>& names, std::string_view name) {
   for (std::size_t i = 0; i < N; ++i) {
     if (names[i] == name) return static_cast<Enum>(i);
   }
@@ -24,7 +24,7 @@
   return kKindNames[static_cast<std::size_t>(kind)];
 }
 std::optional<Kind> kind_of(std::string_view name) {
-  return find<Kind>(kKindNames, name);
+  return find_by_name<Kind>(kKindNames, name);
 }
 std::string_view name_of(Meaning meaning) {
   return kMeaningNames[static_cast<std::size_t>(meaning)];
--- a/src/translate/canonical.hpp
+++ b/src/translate/canonical.hpp
@@ -1,4 +1,5 @@
-// What a session's messages mean, whatever the protocol: the middle into which every dialect is explained.
+// The protocol-independent model of a session: the kinds of messages and the meanings of their fields. Every
+// dialect is described in these terms.
 #pragma once
 
 #include <array>
@@ -10,42 +11,46 @@
 
 namespace amberknot::translate {
 
-/// The messages of a session's life.
+/// The kinds of messages in the life of a session.
 enum class Kind : std::uint8_t {
-  kSetUp,    ///< client to server: asks for a session
-  kAnswer,   ///< server to client: the session stands
-  kGiveUp,   ///< client to server: the set-up is not waited for any more
-  kRelease,  ///< either way: a session that stands is over
+  kSetUp,    ///< client to server: requests a session
+  kAnswer,   ///< server to client: the session is established
+  kGiveUp,   ///< client to server: abandons a set-up that is not answered yet
+  kRelease,  ///< either direction: ends an established session
 };
 inline constexpr std::size_t kKinds = 4;
+/// The name of a kind in the operator's table.
 std::string_view name_of(Kind kind);
+/// Returns nullopt if `name` is not the name of a kind.
 std::optional<Kind> kind_of(std::string_view name);
 
-/// What a field means. Two dialects' fields of one meaning are copied into each other unless a table says
-/// otherwise. A field that means nothing to the other side has kNone and needs a row, or is declared lost.
+/// The meaning of a field. Fields of two dialects with the same meaning are copied to each other unless a
+/// table row says otherwise. A field with kNone has no counterpart in other dialects; it needs a table row or
+/// must be declared lost.
 enum class Meaning : std::uint8_t {
   kNone,
-  kCall,         ///< the session's identity, 16 hex digits on the platform
-  kClass,        ///< class of the call, named as in the settings
-  kNumber,       ///< the number called
-  kTenant,       ///< the retailer, named as in the settings
-  kDescription,  ///< opaque, of either side
-  kPatience,     ///< how long the caller waits
-  kPool,         ///< first choice of servers
-  kWidth,        ///< lines that it takes
-  kAgain,        ///< it was cut and comes again
-  kTerminal,     ///< the till
-  kAcquirer,     ///< who operates the till
-  kTrace,        ///< the till's own number of the request (ISO 8583 field 11)
-  kReference,    ///< retrieval reference (ISO 8583 field 37)
-  kAmount,       ///< minor units
-  kCurrency,     ///< ISO 4217, three digits
-  kLocalTime,    ///< MMDDhhmmss
-  kRegion,       ///< where the session is settled
-  kCause,        ///< Q.850
-  kReason,       ///< one of Reason, by name
+  kCall,         ///< identifier of the session, 16 hex digits
+  kClass,        ///< class of call, by its name in the settings
+  kNumber,       ///< called number
+  kTenant,       ///< tenant, by its name in the settings
+  kDescription,  ///< opaque session description of either side
+  kPatience,     ///< how long the caller waits for the answer
+  kPool,         ///< preferred pool of servers
+  kWidth,        ///< number of lines that the call occupies
+  kAgain,        ///< set if the call was cut off and is set up again
+  kTerminal,     ///< identifier of the payment terminal
+  kAcquirer,     ///< operator of the terminal
+  kTrace,        ///< the terminal's number for the request (ISO 8583 field 11)
+  kReference,    ///< retrieval reference number (ISO 8583 field 37)
+  kAmount,       ///< amount in minor units of the currency
+  kCurrency,     ///< ISO 4217 numeric code, three digits
+  kLocalTime,    ///< local date and time as MMDDhhmmss
+  kRegion,       ///< region in which the session is settled
+  kCause,        ///< Q.850 cause code
+  kReason,       ///< name of a Reason
 };
 inline constexpr std::size_t kMeanings = 20;
+/// The name of a meaning in the operator's table, where it is written with a leading `@`.
 std::string_view name_of(Meaning meaning);
 
 using core::About;
--- a/src/translate/duplicates.cpp
+++ b/src/translate/duplicates.cpp
@@ -14,7 +14,7 @@
   XXH3_INITSTATE(&state);
   XXH3_128bits_reset_withSeed(&state, seed);
   for (const auto part : {acquirer, terminal, trace, local_time}) {
-    // With its length in front, "12" and "3" are not "1" and "23".
+    // The length prefix makes the parts "12" and "3" differ from "1" and "23".
     const std::uint64_t size = part.size();
     XXH3_128bits_update(&state, &size, sizeof size);
     XXH3_128bits_update(&state, part.data(), part.size());
@@ -23,104 +23,105 @@
   return {hash.high64, hash.low64};
 }
 
-DuplicateIndex::DuplicateIndex(Instant now, DuplicateRules rules) : rules_(rules), wheel_(kWheel, kNone) {
-  // The longest life goes round the wheel once.
-  tick_ = std::max<Duration>(std::max(rules_.open, rules_.over) / static_cast<std::int64_t>(kWheel - 2),
-                             Duration{1});
-  // Half of the bytes are for the slots, which are a power of two and three quarters full at most; half for
-  // answers.
+DuplicateIndex::DuplicateIndex(Instant now, DuplicateRules rules)
+    : rules_(rules), wheel_(kWheelSlots, kNone) {
+  // The longest lifetime takes just under one turn of the wheel.
+  tick_length_ = std::max<Duration>(
+      std::max(rules_.open, rules_.over) / static_cast<std::int64_t>(kWheelSlots - 2), Duration{1});
+  // Half of the bytes are for the slots, the other half for answers. The number of slots is a power of two,
+  // of which at most three quarters are used.
   const std::size_t slots = std::max<std::size_t>(16, std::bit_floor(rules_.max_bytes / 2 / sizeof(Slot)));
   slots_.resize(slots);
-  most_ = slots / 4 * 3;
-  ticks_ = tick_of(now);
+  max_entries_ = slots / 4 * 3;
+  current_tick_ = tick_of(now);
 }
 
 std::uint32_t DuplicateIndex::find(const RequestKey& key) const {
-  for (std::uint32_t at = home(key); slots_[at].used; at = (at + 1) & (slots_.size() - 1)) {
+  for (std::uint32_t at = home_slot(key); slots_[at].in_use; at = (at + 1) & (slots_.size() - 1)) {
     if (slots_[at].key == key) return at;
   }
   return kNone;
 }
 
-// ---- the two lists: what is due in a tick, and what is over, oldest first ---------------------------------
+// ---- lists: entries by expiry tick; completed requests, oldest first --------------------------------------
 
 void DuplicateIndex::schedule(std::uint32_t at, Instant due) {
   auto& slot = slots_[at];
-  // Rounded up: nothing is forgotten early.
-  slot.due = std::max(tick_of(due + tick_ - Duration{1}), ticks_ + 1);
-  auto& head = wheel_[static_cast<std::size_t>(slot.due) % kWheel];
-  slot.before = kNone;
+  // Rounded up, so that no entry expires early.
+  slot.due_tick = std::max(tick_of(due + tick_length_ - Duration{1}), current_tick_ + 1);
+  auto& head = wheel_[static_cast<std::size_t>(slot.due_tick) % kWheelSlots];
+  slot.previous = kNone;
   slot.next = head;
-  if (head != kNone) slots_[head].before = at;
+  if (head != kNone) slots_[head].previous = at;
   head = at;
 }
 
 void DuplicateIndex::unschedule(std::uint32_t at) {
   auto& slot = slots_[at];
-  if (slot.before != kNone) {
-    slots_[slot.before].next = slot.next;
+  if (slot.previous != kNone) {
+    slots_[slot.previous].next = slot.next;
   } else {
-    wheel_[static_cast<std::size_t>(slot.due) % kWheel] = slot.next;
+    wheel_[static_cast<std::size_t>(slot.due_tick) % kWheelSlots] = slot.next;
   }
-  if (slot.next != kNone) slots_[slot.next].before = slot.before;
+  if (slot.next != kNone) slots_[slot.next].previous = slot.previous;
 }
 
-void DuplicateIndex::join_over(std::uint32_t at) {
+void DuplicateIndex::append_completed(std::uint32_t at) {
   auto& slot = slots_[at];
-  slot.older = newest_;
+  slot.older = newest_completed_;
   slot.newer = kNone;
-  (newest_ != kNone ? slots_[newest_].newer : oldest_) = at;
-  newest_ = at;
+  (newest_completed_ != kNone ? slots_[newest_completed_].newer : oldest_completed_) = at;
+  newest_completed_ = at;
 }
 
-void DuplicateIndex::leave_over(std::uint32_t at) {
+void DuplicateIndex::remove_completed(std::uint32_t at) {
   auto& slot = slots_[at];
   if (slot.state == RequestState::kOpen) return;
-  (slot.older != kNone ? slots_[slot.older].newer : oldest_) = slot.newer;
-  (slot.newer != kNone ? slots_[slot.newer].older : newest_) = slot.older;
+  (slot.older != kNone ? slots_[slot.older].newer : oldest_completed_) = slot.newer;
+  (slot.newer != kNone ? slots_[slot.newer].older : newest_completed_) = slot.older;
   slot.older = slot.newer = kNone;
 }
 
-// ---- entering and leaving --------------------------------------------------------------------------------
+// ---- insertion and removal -------------------------------------------------------------------------------
 
-std::uint32_t DuplicateIndex::enter(Instant now, const RequestKey& key) {
+std::uint32_t DuplicateIndex::insert(Instant now, const RequestKey& key) {
   advance(now);
-  if (used_ >= most_ && !evict_oldest()) return kNone;
-  std::uint32_t at = home(key);
-  while (slots_[at].used) at = (at + 1) & (slots_.size() - 1);
+  if (used_ >= max_entries_ && !evict_oldest()) return kNone;
+  std::uint32_t at = home_slot(key);
+  while (slots_[at].in_use) at = (at + 1) & (slots_.size() - 1);
   auto& slot = slots_[at];
   slot.key = key;
-  slot.used = true;
+  slot.in_use = true;
   ++used_;
   return at;
 }
 
-// Only what is over may go: an open one that is forgotten would be set up a second time by its repeat.
+// Open requests are never evicted: a repeat of an evicted one would be set up a second time.
 bool DuplicateIndex::evict_oldest() {
-  if (oldest_ == kNone) return false;
+  if (oldest_completed_ == kNone) return false;
   ++counts_.evicted;
-  erase(oldest_);
+  erase(oldest_completed_);
   return true;
 }
 
 void DuplicateIndex::drop_answer(Slot& slot) {
-  answers_ -= slot.answer.capacity() > sizeof(std::string) ? slot.answer.capacity() : 0;
-  std::string().swap(slot.answer);  // an assignment would keep the bytes that were counted
-  slot.kept = false;
+  answer_bytes_ -= slot.answer.capacity() > sizeof(std::string) ? slot.answer.capacity() : 0;
+  std::string().swap(slot.answer);  // assigning an empty string would keep the allocation
+  slot.has_answer = false;
 }
 
 void DuplicateIndex::erase(std::uint32_t at) {
   unschedule(at);
-  leave_over(at);
+  remove_completed(at);
   drop_answer(slots_[at]);
-  slots_[at].used = false;
+  slots_[at].in_use = false;
   --used_;
-  // What follows is closed up, so that no search ends early in the gap.
+  // Shifts later entries of the probe sequence back, so that no search ends early at the gap.
   const std::uint32_t mask = static_cast<std::uint32_t>(slots_.size() - 1);
   std::uint32_t gap = at;
-  for (std::uint32_t next = (at + 1) & mask; slots_[next].used; next = (next + 1) & mask) {
-    const std::uint32_t from = home(slots_[next].key);
-    if (((next - from) & mask) < ((next - gap) & mask)) continue;  // it would be before its home
+  for (std::uint32_t next = (at + 1) & mask; slots_[next].in_use; next = (next + 1) & mask) {
+    const std::uint32_t from = home_slot(slots_[next].key);
+    if (((next - from) & mask) < ((next - gap) & mask)) continue;  // the gap is before its home slot
     move(next, gap);
     gap = next;
   }
@@ -130,126 +131,128 @@
   auto& slot = slots_[to];
   slot = std::move(slots_[from]);
   slots_[from] = Slot();
-  if (slot.before != kNone) {
-    slots_[slot.before].next = to;
+  if (slot.previous != kNone) {
+    slots_[slot.previous].next = to;
   } else {
-    wheel_[static_cast<std::size_t>(slot.due) % kWheel] = to;
+    wheel_[static_cast<std::size_t>(slot.due_tick) % kWheelSlots] = to;
   }
-  if (slot.next != kNone) slots_[slot.next].before = to;
+  if (slot.next != kNone) slots_[slot.next].previous = to;
   if (slot.state == RequestState::kOpen) return;
-  (slot.older != kNone ? slots_[slot.older].newer : oldest_) = to;
-  (slot.newer != kNone ? slots_[slot.newer].older : newest_) = to;
+  (slot.older != kNone ? slots_[slot.older].newer : oldest_completed_) = to;
+  (slot.newer != kNone ? slots_[slot.newer].older : newest_completed_) = to;
 }
 
 void DuplicateIndex::advance(Instant now) {
-  const std::int64_t until = tick_of(now);
-  // A clock that has leapt goes round the wheel once, not tick by tick.
-  if (until - ticks_ > static_cast<std::int64_t>(kWheel)) ticks_ = until - static_cast<std::int64_t>(kWheel);
-  while (ticks_ < until) {
-    ++ticks_;
-    const std::size_t place = static_cast<std::size_t>(ticks_) % kWheel;
-    // Erasing moves others; the list is taken from its head each time.
-    std::uint32_t at = wheel_[place];
+  const std::int64_t end_tick = tick_of(now);
+  // After a large step of the clock, one turn of the wheel visits every entry.
+  if (end_tick - current_tick_ > static_cast<std::int64_t>(kWheelSlots))
+    current_tick_ = end_tick - static_cast<std::int64_t>(kWheelSlots);
+  while (current_tick_ < end_tick) {
+    ++current_tick_;
+    const std::size_t wheel_slot = static_cast<std::size_t>(current_tick_) % kWheelSlots;
+    // Erasing may move other entries, so the list is read again from its head after each removal.
+    std::uint32_t at = wheel_[wheel_slot];
     while (at != kNone) {
-      if (slots_[at].due > until) {
+      if (slots_[at].due_tick > end_tick) {
         at = slots_[at].next;
         continue;
       }
       ++counts_.expired;
       erase(at);
-      at = wheel_[place];
+      at = wheel_[wheel_slot];
     }
   }
 }
 
-// ---- what happens to a request ---------------------------------------------------------------------------
+// ---- events ----------------------------------------------------------------------------------------------
 
-DuplicateIndex::Seen DuplicateIndex::request(Instant now, const RequestKey& key, CallId call) {
+DuplicateIndex::RequestResult DuplicateIndex::request(Instant now, const RequestKey& key, CallId call) {
   advance(now);
-  using What = Seen::What;
+  using Status = RequestResult::Status;
   if (const auto at = find(key); at != kNone) {
     const auto& slot = slots_[at];
     switch (slot.state) {
       case RequestState::kOpen:
-        ++counts_.same;
-        return {What::kSame, slot.call, {}};
+        ++counts_.pending_repeats;
+        return {Status::kPending, slot.call, {}};
       case RequestState::kAnswered:
-        ++counts_.again;
-        return {slot.kept ? What::kAnswered : What::kForgotten, slot.call, slot.answer};
+        ++counts_.completed_repeats;
+        return {slot.has_answer ? Status::kAnswered : Status::kAnswerNotKept, slot.call, slot.answer};
       case RequestState::kReversed:
-        ++counts_.again;
-        return {What::kReversed, slot.call, {}};
+        ++counts_.completed_repeats;
+        return {Status::kReversed, slot.call, {}};
     }
   }
-  const auto at = enter(now, key);
+  const auto at = insert(now, key);
   if (at == kNone) {
-    ++counts_.no_room;
-    return {What::kNoRoom, {}, {}};
+    ++counts_.index_full;
+    return {Status::kIndexFull, {}, {}};
   }
-  ++counts_.fresh;
+  ++counts_.new_requests;
   slots_[at].state = RequestState::kOpen;
   slots_[at].call = call;
   schedule(at, now + rules_.open);
-  return {What::kNew, call, {}};
+  return {Status::kNew, call, {}};
 }
 
 bool DuplicateIndex::answered(Instant now, const RequestKey& key, std::string_view answer) {
   advance(now);
   auto at = find(key);
   if (at == kNone || slots_[at].state != RequestState::kOpen) return false;
-  // Answers may not take more than their half; the oldest go first, and with them their entries.
-  const std::size_t most = rules_.max_bytes / 2;
-  while (answer.size() <= rules_.max_answer && answers_ + answer.size() > most && evict_oldest()) {
-    at = find(key);  // others may have moved
+  // Answers may take half of the bytes. To make room, the entries that were completed first are evicted.
+  const std::size_t max_total_answer_bytes = rules_.max_bytes / 2;
+  while (answer.size() <= rules_.max_answer_bytes && answer_bytes_ + answer.size() > max_total_answer_bytes &&
+         evict_oldest()) {
+    at = find(key);  // eviction may have moved the entry
   }
   unschedule(at);
   auto& slot = slots_[at];
   slot.state = RequestState::kAnswered;
-  if (answer.size() <= rules_.max_answer && answers_ + answer.size() <= most) {
+  if (answer.size() <= rules_.max_answer_bytes && answer_bytes_ + answer.size() <= max_total_answer_bytes) {
     slot.answer = std::string(answer);
-    slot.kept = true;
-    answers_ += slot.answer.capacity() > sizeof(std::string) ? slot.answer.capacity() : 0;
+    slot.has_answer = true;
+    answer_bytes_ += slot.answer.capacity() > sizeof(std::string) ? slot.answer.capacity() : 0;
   }
   schedule(at, now + rules_.over);
-  join_over(at);
+  append_completed(at);
   return true;
 }
 
-bool DuplicateIndex::dropped(const RequestKey& key) {
+bool DuplicateIndex::remove_open(const RequestKey& key) {
   const auto at = find(key);
   if (at == kNone || slots_[at].state != RequestState::kOpen) return false;
   erase(at);
   return true;
 }
 
-DuplicateIndex::Reversal DuplicateIndex::reverse(Instant now, const RequestKey& key) {
+DuplicateIndex::ReversalResult DuplicateIndex::reverse(Instant now, const RequestKey& key) {
   advance(now);
-  using What = Reversal::What;
+  using Status = ReversalResult::Status;
   const auto at = find(key);
   if (at == kNone) {
-    const auto made = enter(now, key);
-    if (made == kNone) {
-      ++counts_.no_room;
-      return {What::kNoRoom, {}};
+    const auto inserted = insert(now, key);
+    if (inserted == kNone) {
+      ++counts_.index_full;
+      return {Status::kIndexFull, {}};
     }
-    ++counts_.early;
-    slots_[made].state = RequestState::kReversed;
-    slots_[made].call = CallId{};
-    schedule(made, now + rules_.over);
-    join_over(made);
-    return {What::kEarly, {}};
+    ++counts_.early_reversals;
+    slots_[inserted].state = RequestState::kReversed;
+    slots_[inserted].call = CallId{};
+    schedule(inserted, now + rules_.over);
+    append_completed(inserted);
+    return {Status::kBeforeRequest, {}};
   }
   auto& slot = slots_[at];
-  if (slot.state == RequestState::kReversed) return {What::kAgain, slot.call};
-  const bool open = slot.state == RequestState::kOpen;
+  if (slot.state == RequestState::kReversed) return {Status::kAlreadyReversed, slot.call};
+  const bool was_open = slot.state == RequestState::kOpen;
   ++counts_.reversed;
   unschedule(at);
-  leave_over(at);
+  remove_completed(at);
   slot.state = RequestState::kReversed;
   drop_answer(slot);
   schedule(at, now + rules_.over);
-  join_over(at);
-  return {open ? What::kEndOpen : What::kRelease, slot.call};
+  append_completed(at);
+  return {was_open ? Status::kGiveUp : Status::kRelease, slot.call};
 }
 
 std::optional<RequestState> DuplicateIndex::state(const RequestKey& key) const {
--- a/src/translate/message.hpp
+++ b/src/translate/message.hpp
@@ -1,4 +1,5 @@
-// A set-up as its front read it, kept while the call lives: it may be said to servers of several versions.
+// A set-up as the frontend read it. It is kept for the life of the call, because further attempts may go to
+// servers of other protocol versions.
 #pragma once
 
 #include <deque>
@@ -10,25 +11,28 @@
 
 namespace amberknot::translate {
 
+/// The fields of a set-up in the dialect of its client.
 class Message : public core::ProtocolMessage {
  public:
-  /// `client` is the number of the client's dialect in the router's Translator.
+  /// `client` is the index of the client's dialect in the router's Translator. `fields` must outlive the
+  /// message.
   Message(std::size_t client, const std::vector<FieldSpec>& fields) : client_(client), fields_(fields) {}
 
-  /// The field of that meaning; what the client's dialect has no field for is skipped.
+  /// Sets the field with that meaning. Does nothing if the client's dialect has no such field of that type.
   void set(Meaning meaning, std::string_view text);
   void set(Meaning meaning, std::int64_t number);
 
+  /// Index of the client's dialect in the router's Translator.
   [[nodiscard]] std::size_t client() const { return client_; }
   [[nodiscard]] const Record& record() const { return record_; }
-  /// Bytes held.
-  [[nodiscard]] std::size_t bytes() const { return sizeof(*this) + held_; }
+  /// Approximate bytes of memory in use.
+  [[nodiscard]] std::size_t bytes() const { return sizeof(*this) + text_bytes_; }
 
  private:
   std::size_t client_;
   const std::vector<FieldSpec>& fields_;
-  std::deque<std::string> texts_;  // they stay where they are while more are added
-  std::size_t held_ = 0;
+  std::deque<std::string> texts_;  // a deque, because the record refers to the texts while more are added
+  std::size_t text_bytes_ = 0;
   Record record_;
 };
 
--- a/src/translate/retry_after.hpp
+++ b/src/translate/retry_after.hpp
@@ -1,4 +1,4 @@
-// Retry-After (RFC 9110, 10.2.3): how long a server asks to be left alone.
+// Reads the Retry-After header (RFC 9110, 10.2.3), in which a server asks its clients to wait.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,9 @@
 
 namespace amberknot::translate {
 
-/// Both forms: delay-seconds, and HTTP-date in its three (RFC 9110, 5.6.7). A moment that has gone by is
-/// zero; more than `most` is `most`. Empty: it is neither form.
-std::optional<Duration> read_retry_after(std::string_view value, std::int64_t unix_ms, Duration most);
+/// Returns the wait that `value` asks for, at max_delay `max_delay`: delay-seconds, or the time from
+/// `unix_ms` to an HTTP-date in any of its three formats (RFC 9110, 5.6.7), zero if that is past. Returns
+/// nullopt if `value` is neither.
+std::optional<Duration> read_retry_after(std::string_view value, std::int64_t unix_ms, Duration max_delay);
 
 }  // namespace amberknot::translate
--- a/src/translate/versions.cpp
+++ b/src/translate/versions.cpp
@@ -4,83 +4,87 @@
 
 namespace amberknot::translate {
 
-void Versions::become(ServerId id, Server& server, std::optional<DialectNo> dialect, Actions& actions) {
+void Versions::set_dialect(ServerId id, Server& server, std::optional<DialectNo> dialect, Actions& actions) {
   if (server.dialect == dialect) return;
   server.dialect = dialect;
   actions.push_back({VersionAction::What::kChanged, id, 0, dialect});
 }
 
-void Versions::forget(ServerId id, Server& server, Actions& actions) {
-  if (server.dialect || !server.process.empty()) ++counts_.forgotten;
+void Versions::discard_learned(ServerId id, Server& server, Actions& actions) {
+  if (server.dialect || !server.process.empty()) ++counts_.discarded;
   server.process.clear();
-  server.denied = 0;
+  server.rejected = 0;
   server.due.reset();
-  server.pause = Duration::zero();
-  server.asked_on = 0;
+  server.retry_delay = Duration::zero();
+  server.request_connection = 0;
   server.state = VersionState::kUnknown;
-  become(id, server, std::nullopt, actions);
+  set_dialect(id, server, std::nullopt, actions);
 }
 
-void Versions::ask(Instant now, ServerId id, Server& server, Actions& actions) {
+void Versions::request_versions(Instant now, ServerId id, Server& server, Actions& actions) {
   if (server.connections.empty()) {
     server.state = VersionState::kUnknown;
     server.due.reset();
     return;
   }
-  ++counts_.asked;
-  server.state = VersionState::kAsking;
-  server.asked_on = server.connections.back();
-  server.due = now + rules_.patience;
-  actions.push_back({VersionAction::What::kAsk, id, server.asked_on, std::nullopt});
-}
-
-// Nothing that it speaks is spoken here, or it does not answer: nothing is sent there, and it is asked again
-// after a pause that doubles, so that a fleet of old servers is no storm of questions.
-void Versions::bar(Instant now, ServerId id, Server& server, Actions& actions) {
-  ++counts_.barred;
-  server.state = VersionState::kBarred;
-  server.pause = std::clamp(server.pause * 2, rules_.min_pause, rules_.max_pause);
-  server.due = now + server.pause;
-  become(id, server, std::nullopt, actions);
-}
-
-std::optional<DialectNo> Versions::best(const Server& server, std::span<const DialectNo> spoken) const {
-  std::optional<DialectNo> found;
-  std::uint32_t rank = 0;
+  ++counts_.requests;
+  server.state = VersionState::kRequesting;
+  server.request_connection = server.connections.back();
+  server.due = now + rules_.answer_timeout;
+  actions.push_back({VersionAction::What::kRequest, id, server.request_connection, std::nullopt});
+}
+
+// The server has no dialect in common with this router or does not answer. It gets no set-ups, and the
+// versions are requested again after a delay that doubles each time, so that many old servers do not cause a
+// flood of requests.
+void Versions::mark_unsupported(Instant now, ServerId id, Server& server, Actions& actions) {
+  ++counts_.unsupported;
+  server.state = VersionState::kUnsupported;
+  server.retry_delay = std::clamp(server.retry_delay * 2, rules_.min_retry_delay, rules_.max_retry_delay);
+  server.due = now + server.retry_delay;
+  set_dialect(id, server, std::nullopt, actions);
+}
+
+std::optional<DialectNo> Versions::preferred_dialect(const Server& server,
+                                                     std::span<const DialectNo> spoken) const {
+  std::optional<DialectNo> best;
+  std::uint32_t best_rank = 0;
   for (const auto dialect : spoken) {
-    const auto no = static_cast<std::size_t>(dialect);
-    if (no >= ranks_.size() || ranks_[no] <= rank || (server.denied & set_of(dialect)) != 0) continue;
-    found = dialect;
-    rank = ranks_[no];
+    const auto index = static_cast<std::size_t>(dialect);
+    if (index >= ranks_.size() || ranks_[index] <= best_rank || (server.rejected & set_of(dialect)) != 0)
+      continue;
+    best = dialect;
+    best_rank = ranks_[index];
   }
-  return found;
+  return best;
 }
 
 void Versions::listed(Instant now, ServerId id, std::string_view address, std::int64_t started,
                       std::optional<DialectNo> configured, Actions& actions) {
   auto& server = servers_[id];
-  const bool moved = server.address != address;
-  const bool replaced = moved || started > server.started;
+  const bool address_changed = server.address != address;
+  const bool is_new_process = address_changed || started > server.started;
   server.address = address;
   server.started = std::max(server.started, started);
   if (configured) {
     server.state = VersionState::kConfigured;
     server.due.reset();
-    become(id, server, configured, actions);
+    set_dialect(id, server, configured, actions);
     return;
   }
   if (server.state == VersionState::kConfigured) {
-    // The operator's word is taken back: what the server says counts again.
-    forget(id, server, actions);
-    ask(now, id, server, actions);
+    // The operator has removed the configured dialect, so the server's answers count again.
+    discard_learned(id, server, actions);
+    request_versions(now, id, server, actions);
     return;
   }
-  if (!replaced) return;
-  // At another address nothing of what is connected leads to it. At the same one the links may have met the
-  // new process before the list tells of it, and a dead one does not answer: the newest connection is asked.
-  if (moved) server.connections.clear();
-  forget(id, server, actions);
-  ask(now, id, server, actions);
+  if (!is_new_process) return;
+  // After a change of address no existing connection leads to the new process. At the same address,
+  // connections may have reached the new process before the list announces it, and those to the old process
+  // get no answer: the newest connection is used.
+  if (address_changed) server.connections.clear();
+  discard_learned(id, server, actions);
+  request_versions(now, id, server, actions);
 }
 
 void Versions::gone(ServerId id) {
@@ -95,20 +99,20 @@
   switch (server.state) {
     case VersionState::kUnknown:
     case VersionState::kKnown:
-      // Also of one that is known: another process may have taken the address and nobody said so yet. What is
-      // known counts until the answer.
+      // A known server is asked too: a new process may have taken over the address without an announcement.
+      // The known dialect stays valid until the answer.
       if (server.state == VersionState::kKnown) {
-        ++counts_.asked;
-        server.asked_on = connection;
-        server.due = now + rules_.keep;
-        actions.push_back({VersionAction::What::kAsk, id, connection, std::nullopt});
+        ++counts_.requests;
+        server.request_connection = connection;
+        server.due = now + rules_.learned_version_ttl;
+        actions.push_back({VersionAction::What::kRequest, id, connection, std::nullopt});
       } else {
-        ask(now, id, server, actions);
+        request_versions(now, id, server, actions);
       }
       break;
-    case VersionState::kAsking:
+    case VersionState::kRequesting:
     case VersionState::kConfigured:
-    case VersionState::kBarred:
+    case VersionState::kUnsupported:
       break;
   }
 }
@@ -118,19 +122,20 @@
   if (found == servers_.end()) return;
   auto& server = found->second;
   if (std::erase(server.connections, connection) == 0) return;
-  if (server.state != VersionState::kAsking || server.asked_on != connection) return;
-  // The question went with it; it is put on the next one, or at once on another that is up.
+  if (server.state != VersionState::kRequesting || server.request_connection != connection) return;
+  // The request is lost with its connection. It is repeated at once on another established connection, or on
+  // the next one.
   server.due = now;
 }
 
-Versions::Server* Versions::of_live(ServerId id, std::uint64_t connection) {
+Versions::Server* Versions::find_connected(ServerId id, std::uint64_t connection) {
   const auto found = servers_.find(id);
   if (found == servers_.end() || found->second.state == VersionState::kConfigured) return nullptr;
   auto& server = found->second;
-  // An answer on a connection of the process before would be believed of the one that took its place.
+  // An answer from a connection to the previous process says nothing about its replacement.
   if (std::find(server.connections.begin(), server.connections.end(), connection) ==
       server.connections.end()) {
-    ++counts_.stale;
+    ++counts_.stale_answers;
     return nullptr;
   }
   return &server;
@@ -138,67 +143,68 @@
 
 void Versions::told(Instant now, ServerId id, std::uint64_t connection, std::string_view process,
                     std::span<const DialectNo> spoken, Actions& actions) {
-  auto* believed = of_live(id, connection);
-  if (believed == nullptr) return;
-  auto& server = *believed;
+  auto* connected_server = find_connected(id, connection);
+  if (connected_server == nullptr) return;
+  auto& server = *connected_server;
   if (server.process != process) {
     if (!server.process.empty()) {
-      ++counts_.forgotten;
-      server.denied = 0;
+      ++counts_.discarded;
+      server.rejected = 0;
     }
     server.process = process;
   }
-  const auto dialect = best(server, spoken);
-  if (!dialect) return bar(now, id, server, actions);
+  const auto dialect = preferred_dialect(server, spoken);
+  if (!dialect) return mark_unsupported(now, id, server, actions);
   if (server.dialect &&
       ranks_[static_cast<std::size_t>(*dialect)] < ranks_[static_cast<std::size_t>(*server.dialect)]) {
     ++counts_.downgraded;
   }
   ++counts_.learned;
   server.state = VersionState::kKnown;
-  server.due = now + rules_.keep;
-  server.pause = Duration::zero();
-  become(id, server, dialect, actions);
+  server.due = now + rules_.learned_version_ttl;
+  server.retry_delay = Duration::zero();
+  set_dialect(id, server, dialect, actions);
 }
 
 void Versions::denied(Instant now, ServerId id, std::uint64_t connection, DialectNo dialect,
                       Actions& actions) {
-  auto* believed = of_live(id, connection);
-  if (believed == nullptr) return;
-  auto& server = *believed;
-  ++counts_.denied;
-  server.denied |= set_of(dialect);
-  if (server.dialect != dialect) return;  // it was sent before it moved on
-  become(id, server, std::nullopt, actions);
-  ask(now, id, server, actions);
+  auto* connected_server = find_connected(id, connection);
+  if (connected_server == nullptr) return;
+  auto& server = *connected_server;
+  ++counts_.rejected;
+  server.rejected |= set_of(dialect);
+  if (server.dialect != dialect) return;  // the message was sent before the server changed its dialect
+  set_dialect(id, server, std::nullopt, actions);
+  request_versions(now, id, server, actions);
 }
 
 void Versions::tick(Instant now, Actions& actions) {
   for (auto& [id, server] : servers_) {
     if (!server.due || now < *server.due) continue;
     switch (server.state) {
-      case VersionState::kAsking: {
-        const bool lost = std::find(server.connections.begin(), server.connections.end(), server.asked_on) ==
-                          server.connections.end();
-        if (lost) {
-          ask(now, id, server, actions);
+      case VersionState::kRequesting: {
+        const bool is_connection_lost = std::find(server.connections.begin(), server.connections.end(),
+                                                  server.request_connection) == server.connections.end();
+        if (is_connection_lost) {
+          request_versions(now, id, server, actions);
         } else {
-          bar(now, id, server, actions);
+          mark_unsupported(now, id, server, actions);
         }
         break;
       }
-      case VersionState::kBarred:
-        ask(now, id, server, actions);
+      case VersionState::kUnsupported:
+        request_versions(now, id, server, actions);
         break;
       case VersionState::kKnown:
-        // Each connection confirms it; with one up it is asked again, without one it is forgotten.
+        // No new connection has confirmed the dialect for a while: with a connection it is requested again,
+        // without one it is discarded.
         if (server.connections.empty()) {
-          forget(id, server, actions);
+          discard_learned(id, server, actions);
         } else {
-          ++counts_.asked;
-          server.asked_on = server.connections.back();
-          server.due = now + rules_.keep;
-          actions.push_back({VersionAction::What::kAsk, id, server.asked_on, std::nullopt});
+          ++counts_.requests;
+          server.request_connection = server.connections.back();
+          server.due = now + rules_.learned_version_ttl;
+          actions.push_back({VersionAction::What::kRequest, id, server.request_connection, std::nullopt});
         }
         break;
       case VersionState::kUnknown:
--- a/src/translate/versions.hpp
+++ b/src/translate/versions.hpp
@@ -1,6 +1,6 @@
-// Which dialect each server speaks: configured, or learned when connecting, and forgotten when its process is
-// replaced. A state machine without I/O: events in, actions out. Its table of transitions is in
-// docs/translation.md.
+// Tracks which dialect each server speaks. The dialect is configured, or learned from the server on each
+// connection and discarded when the server's process is replaced. This is a state machine without I/O: it
+// takes events and returns actions. The table of its transitions is in docs/translation.md.
 #pragma once
 
 #include <cstdint>
@@ -17,84 +17,101 @@
 
 namespace amberknot::translate {
 
-/// A dialect by its place in the router's list of servers' dialects; the module knows it by that number.
+/// Index of a dialect in the router's list of server dialects. The decision module knows dialects by it.
 using DialectNo = ProtocolVersion;
-inline constexpr std::size_t kMaxDialects = 31;  // the last number is of what is not known
-/// A set of dialects.
+inline constexpr std::size_t kMaxDialects = 31;  // number 31 stands for an unknown dialect
+/// A set of server dialects.
 using DialectSet = ProtocolVersionSet;
 using core::set_of;
 
+/// Timeouts of the state machine.
 struct VersionRules {
-  Duration patience = std::chrono::milliseconds{500};   ///< for the answer to the question what it speaks
-  Duration min_pause = std::chrono::milliseconds{500};  ///< before it is asked again
-  Duration max_pause = std::chrono::seconds{30};
-  Duration keep = std::chrono::minutes{10};  ///< what was learned counts so long after the last sign of it
+  Duration answer_timeout = std::chrono::milliseconds{500};   ///< of a versions request
+  Duration min_retry_delay = std::chrono::milliseconds{500};  ///< after the first failed request
+  Duration max_retry_delay = std::chrono::seconds{30};        ///< the delay doubles up to this
+  Duration learned_version_ttl = std::chrono::minutes{10};    ///< until a learned dialect is requested again
 };
 
+/// What is known about the dialect of a server.
 enum class VersionState : std::uint8_t {
-  kUnknown,     ///< nothing is known and nobody is asked: there is no connection
-  kAsking,      ///< the question is out
-  kKnown,       ///< it speaks the dialect named
-  kConfigured,  ///< the operator says so; nothing that is learned counts
-  kBarred,      ///< it speaks nothing that this router does; asked again after a pause
+  kUnknown,     ///< no dialect is known, and there is no connection on which to request it
+  kRequesting,  ///< a versions request is unanswered
+  kKnown,       ///< the dialect was learned from the server
+  kConfigured,  ///< the operator configured the dialect; answers of the server are ignored
+  /// The server has no dialect in common with this router, or did not answer. It is asked again after a
+  /// delay.
+  kUnsupported,
 };
 
+/// What the owner of the state machine has to do after an event.
 struct VersionAction {
   enum class What : std::uint8_t {
-    kAsk,      ///< put the question on that connection
-    kChanged,  ///< it speaks this dialect from now on, or none: the module is told, new set-ups go by it
+    kRequest,  ///< send a versions request on the connection
+    kChanged,  ///< the server's dialect changed: inform the decision module and use the new one for set-ups
   };
   What what{};
   ServerId server{};
-  std::uint64_t connection = 0;        ///< kAsk
-  std::optional<DialectNo> dialect{};  ///< kChanged
+  std::uint64_t connection = 0;        ///< kRequest
+  std::optional<DialectNo> dialect{};  ///< kChanged; nullopt if no dialect is known any more
   friend bool operator==(const VersionAction&, const VersionAction&) = default;
 };
 
+/// The dialects of all servers, and the dialect in which each call was set up. Servers that are not listed
+/// are ignored in all events. Not thread-safe.
 class Versions {
  public:
   using Actions = std::vector<VersionAction>;
 
-  /// `ranks` has, for each dialect of the list, how much it is preferred; zero: it cannot be learned, only
-  /// configured (SIP and Diameter servers do not say).
+  /// `ranks` has a preference for each server dialect; the highest is chosen. Zero marks a dialect that can
+  /// only be configured, because its servers do not announce it (SIP and Diameter).
   Versions(VersionRules rules, std::vector<std::uint32_t> ranks) : rules_(rules), ranks_(std::move(ranks)) {}
 
-  /// The list names the server. `started` is new for each process; an address that changes is a new process
-  /// too.
+  /// The list of servers names a server. `started` is larger for each new process of it; a changed address
+  /// also means a new process. `configured` is the dialect that the operator set, if any.
   void listed(Instant now, ServerId server, std::string_view address, std::int64_t started,
               std::optional<DialectNo> configured, Actions& actions);
-  /// It is no more. Calls that stood there keep their dialect.
+  /// The server was removed from the list. Its calls keep their pinned dialect.
   void gone(ServerId server);
 
-  /// A connection is up. Each has a number of its own, so that an answer from before counts for nothing.
+  /// A connection to the server is established. Each connection has its own number, so that a late answer
+  /// from an earlier connection is ignored.
   void connected(Instant now, ServerId server, std::uint64_t connection, Actions& actions);
+  /// A connection to the server is closed.
   void disconnected(Instant now, ServerId server, std::uint64_t connection);
-  /// The answer: what it speaks, and the name of its process where it gives one. A new name on the same
-  /// address is a replaced process, whatever the list says.
+  /// The server answered a versions request with its dialects and the name of its process, which may be
+  /// empty. A new name at the same address means that the process was replaced, whatever the list of servers
+  /// says.
   void told(Instant now, ServerId server, std::uint64_t connection, std::string_view process,
             std::span<const DialectNo> spoken, Actions& actions);
-  /// It answered a message that it does not speak that version (a status 505, 415, or the like).
+  /// The server answered a message with an error that says that it does not support the dialect (such as
+  /// status 505 or 415).
   void denied(Instant now, ServerId server, std::uint64_t connection, DialectNo dialect, Actions& actions);
-  /// Time goes by: questions that stay unanswered, pauses that end, what was learned long ago.
+  /// Handles answers that are overdue, delays that have ended and learned dialects that are due for a check.
   void tick(Instant now, Actions& actions);
-  /// When tick() has something to do next.
+  /// When tick() has to be called next; nullopt if there is nothing to wait for.
   [[nodiscard]] std::optional<Instant> next_tick() const;
 
+  /// The dialect for new set-ups at the server; nullopt if none is known.
   [[nodiscard]] std::optional<DialectNo> speaks(ServerId server) const;
+  /// kUnknown for a server that is not listed.
   [[nodiscard]] VersionState state(ServerId server) const;
-  /// All that is spoken by some server now.
+  /// The dialects that at least one server speaks now.
   [[nodiscard]] DialectSet spoken() const;
+  /// Number of listed servers.
   [[nodiscard]] std::size_t servers() const { return servers_.size(); }
 
-  /// A set-up leaves in the dialect that its server speaks; whatever follows of that call goes by it, also
-  /// once the server has moved on. Pinned again when it is placed again.
+  /// Records the dialect in which a call is set up. All later messages of the call use it, even after the
+  /// server has changed its dialect. A new attempt of the call replaces it.
   void pin(CallId call, DialectNo dialect) { pins_[call] = dialect; }
   [[nodiscard]] std::optional<DialectNo> pinned(CallId call) const;
   void unpin(CallId call) { pins_.erase(call); }
+  /// Number of calls with a pinned dialect.
   [[nodiscard]] std::size_t pins() const { return pins_.size(); }
 
+  /// Event counts since the start.
   struct Counts {
-    std::uint64_t asked = 0, learned = 0, forgotten = 0, barred = 0, denied = 0, stale = 0, downgraded = 0;
+    std::uint64_t requests = 0, learned = 0, discarded = 0, unsupported = 0, rejected = 0, stale_answers = 0,
+                  downgraded = 0;
   };
   [[nodiscard]] const Counts& counts() const { return counts_; }
 
@@ -103,26 +120,34 @@
     VersionState state = VersionState::kUnknown;
     std::string address;
     std::int64_t started = 0;
-    std::string process;  ///< as it names itself; empty: it does not
+    std::string process;  ///< name that the process gave in its last answer; may be empty
     std::optional<DialectNo> dialect;
-    DialectSet denied = 0;  ///< by this process
-    std::uint64_t asked_on = 0;
-    std::vector<std::uint64_t> connections;  ///< up, the oldest first
-    std::optional<Instant> due;              ///< patience, pause or forgetting, by state
-    Duration pause{};
+    DialectSet rejected = 0;                 ///< dialects that this process does not support
+    std::uint64_t request_connection = 0;    ///< connection of the last versions request
+    std::vector<std::uint64_t> connections;  ///< established connections, the oldest first
+    std::optional<Instant> due;              ///< end of the current state's timeout
+    Duration retry_delay{};
   };
 
-  /// The server that a word on this connection counts for; null: it counts for nothing.
-  Server* of_live(ServerId id, std::uint64_t connection);
-  void ask(Instant now, ServerId id, Server& server, Actions& actions);
-  void forget(ServerId id, Server& server, Actions& actions);
-  void bar(Instant now, ServerId id, Server& server, Actions& actions);
-  void become(ServerId id, Server& server, std::optional<DialectNo> dialect, Actions& actions);
-  [[nodiscard]] std::optional<DialectNo> best(const Server& server, std::span<const DialectNo> spoken) const;
+  /// Returns the server if its answer on this connection is valid, otherwise null: the dialect is configured,
+  /// or the connection is not an established one of the server.
+  Server* find_connected(ServerId id, std::uint64_t connection);
+  /// Requests the versions on the newest connection, if there is one.
+  void request_versions(Instant now, ServerId id, Server& server, Actions& actions);
+  /// Discards everything that was learned about the server.
+  void discard_learned(ServerId id, Server& server, Actions& actions);
+  /// Stops set-ups to the server until a later versions request succeeds.
+  void mark_unsupported(Instant now, ServerId id, Server& server, Actions& actions);
+  /// Changes the server's dialect and reports the change.
+  void set_dialect(ServerId id, Server& server, std::optional<DialectNo> dialect, Actions& actions);
+  /// Returns the usable dialect with the highest rank, or nullopt if there is none.
+  [[nodiscard]] std::optional<DialectNo> preferred_dialect(const Server& server,
+                                                           std::span<const DialectNo> spoken) const;
 
   VersionRules rules_;
   std::vector<std::uint32_t> ranks_;
-  std::map<ServerId, Server> servers_;  // in order: the same events give the same actions everywhere
+  /// Ordered, so that the same events give the same actions on every machine.
+  std::map<ServerId, Server> servers_;
   std::unordered_map<CallId, DialectNo> pins_;
   Counts counts_;
 };
--- a/tests/translate_state_test.cpp
+++ b/tests/translate_state_test.cpp
@@ -1,5 +1,5 @@
-// The state machines of translation: versions of servers, and duplicates of old tills, each against a slow
-// exact model under random events.
+// Tests the tracking of the servers' dialects and the index of duplicate requests with single cases, and each
+// against a simple model under random events.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -21,17 +21,19 @@
 namespace {
 
 constexpr DialectNo kSip{0};
-constexpr DialectNo kOne{1};
-constexpr DialectNo kTwo{2};
+constexpr DialectNo kSession1{1};
+constexpr DialectNo kSession2{2};
 const std::vector<std::uint32_t> kRanks = {0, 1, 2};
 constexpr ServerId kServer{7};
 
-struct Bench {
+/// A Versions object with one server, a clock and the actions that were not checked yet.
+struct Fixture {
   Versions versions{VersionRules{}, kRanks};
   Versions::Actions actions;
   Instant now{seconds{100}};
 
-  Versions::Actions taken() { return std::exchange(actions, {}); }
+  /// Returns the actions since the last call.
+  Versions::Actions take_actions() { return std::exchange(actions, {}); }
   void listed(const std::string& address = "a", std::int64_t started = 0,
               std::optional<DialectNo> configured = std::nullopt) {
     versions.listed(now, kServer, address, started, configured, actions);
@@ -40,7 +42,7 @@
   void told(std::uint64_t connection, const std::string& process, std::vector<DialectNo> spoken) {
     versions.told(now, kServer, connection, process, spoken, actions);
   }
-  void pass(Duration time) {
+  void advance(Duration time) {
     now += time;
     versions.tick(now, actions);
   }
@@ -48,243 +50,244 @@
   [[nodiscard]] VersionState state() const { return versions.state(kServer); }
 };
 
-VersionAction ask(std::uint64_t connection) {
-  return {VersionAction::What::kAsk, kServer, connection, std::nullopt};
+VersionAction request_action(std::uint64_t connection) {
+  return {VersionAction::What::kRequest, kServer, connection, std::nullopt};
 }
-VersionAction changed(std::optional<DialectNo> dialect) {
+VersionAction changed_action(std::optional<DialectNo> dialect) {
   return {VersionAction::What::kChanged, kServer, 0, dialect};
 }
 
 }  // namespace
 
-TEST_CASE("what a server speaks is asked when connecting, and the best of it is spoken") {
-  Bench bench;
-  bench.listed();
-  CHECK(bench.taken().empty());
-  CHECK(bench.state() == VersionState::kUnknown);
-  bench.connected(1);
-  CHECK(bench.taken() == Versions::Actions{ask(1)});
-  bench.told(1, "p1", {kOne, kTwo, kSip});
-  CHECK(bench.taken() == Versions::Actions{changed(kTwo)});
-  CHECK(bench.versions.spoken() == set_of(kTwo));
-  // SIP cannot be learned: no server says so.
-  bench.told(1, "p1", {kSip});
-  CHECK(bench.taken() == Versions::Actions{changed(std::nullopt)});
-  CHECK(bench.state() == VersionState::kBarred);
+TEST_CASE("a server's dialects are requested on connection and the one with the highest rank is used") {
+  Fixture fixture;
+  fixture.listed();
+  CHECK(fixture.take_actions().empty());
+  CHECK(fixture.state() == VersionState::kUnknown);
+  fixture.connected(1);
+  CHECK(fixture.take_actions() == Versions::Actions{request_action(1)});
+  fixture.told(1, "p1", {kSession1, kSession2, kSip});
+  CHECK(fixture.take_actions() == Versions::Actions{changed_action(kSession2)});
+  CHECK(fixture.versions.spoken() == set_of(kSession2));
+  // SIP can only be configured: its rank is zero.
+  fixture.told(1, "p1", {kSip});
+  CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt)});
+  CHECK(fixture.state() == VersionState::kUnsupported);
 }
 
-TEST_CASE("a process replaced under the same name or address is asked anew, and calls keep their dialect") {
-  Bench bench;
-  bench.listed("a", 1);
-  bench.connected(1);
-  bench.told(1, "p1", {kOne});
-  bench.versions.pin(CallId{5}, *bench.speaks());
-  bench.taken();
-  SUBCASE("the list says so after the links have met the new one") {
-    bench.versions.disconnected(bench.now, kServer, 1);
-    bench.connected(2);
-    CHECK(bench.taken() == Versions::Actions{ask(2)});
-    CHECK(bench.speaks() == kOne);  // until it has answered
-    bench.told(2, "p2", {kOne, kTwo});
-    CHECK(bench.taken() == Versions::Actions{changed(kTwo)});
-    bench.listed("a", 2);
-    CHECK(bench.taken() == Versions::Actions{changed(std::nullopt), ask(2)});
-    bench.told(2, "p2", {kOne, kTwo});
-    CHECK(bench.speaks() == kTwo);
+TEST_CASE("the versions of a replaced process are requested again, and calls keep their dialect") {
+  Fixture fixture;
+  fixture.listed("a", 1);
+  fixture.connected(1);
+  fixture.told(1, "p1", {kSession1});
+  fixture.versions.pin(CallId{5}, *fixture.speaks());
+  fixture.take_actions();
+  SUBCASE("the list announces the new process after a connection to it is established") {
+    fixture.versions.disconnected(fixture.now, kServer, 1);
+    fixture.connected(2);
+    CHECK(fixture.take_actions() == Versions::Actions{request_action(2)});
+    CHECK(fixture.speaks() == kSession1);  // until the new process has answered
+    fixture.told(2, "p2", {kSession1, kSession2});
+    CHECK(fixture.take_actions() == Versions::Actions{changed_action(kSession2)});
+    fixture.listed("a", 2);
+    CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt), request_action(2)});
+    fixture.told(2, "p2", {kSession1, kSession2});
+    CHECK(fixture.speaks() == kSession2);
   }
-  SUBCASE("the list says so first") {
-    bench.listed("a", 2);
-    CHECK(bench.taken() == Versions::Actions{changed(std::nullopt), ask(1)});
-    bench.versions.disconnected(bench.now, kServer, 1);
-    bench.pass(milliseconds{1});
-    CHECK(bench.state() == VersionState::kUnknown);
-    bench.connected(2);
-    CHECK(bench.taken() == Versions::Actions{ask(2)});
-    bench.told(1, "p1", {kOne});  // the late word of the one before
-    CHECK(bench.taken().empty());
-    CHECK(bench.versions.counts().stale == 1);
-    bench.told(2, "p2", {kTwo});
-    CHECK(bench.taken() == Versions::Actions{changed(kTwo)});
+  SUBCASE("the list announces the new process first") {
+    fixture.listed("a", 2);
+    CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt), request_action(1)});
+    fixture.versions.disconnected(fixture.now, kServer, 1);
+    fixture.advance(milliseconds{1});
+    CHECK(fixture.state() == VersionState::kUnknown);
+    fixture.connected(2);
+    CHECK(fixture.take_actions() == Versions::Actions{request_action(2)});
+    fixture.told(1, "p1", {kSession1});  // late answer of the previous process
+    CHECK(fixture.take_actions().empty());
+    CHECK(fixture.versions.counts().stale_answers == 1);
+    fixture.told(2, "p2", {kSession2});
+    CHECK(fixture.take_actions() == Versions::Actions{changed_action(kSession2)});
   }
-  SUBCASE("it moves to another address") {
-    bench.listed("b", 1);
-    CHECK(bench.taken() == Versions::Actions{changed(std::nullopt)});
-    bench.told(1, "p1", {kOne});
-    CHECK(bench.taken().empty());
-    CHECK(bench.state() == VersionState::kUnknown);
+  SUBCASE("the server moves to another address") {
+    fixture.listed("b", 1);
+    CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt)});
+    fixture.told(1, "p1", {kSession1});
+    CHECK(fixture.take_actions().empty());
+    CHECK(fixture.state() == VersionState::kUnknown);
   }
-  SUBCASE("it goes for good") {
-    bench.versions.gone(kServer);
-    bench.told(1, "p1", {kOne});
-    CHECK_FALSE(bench.speaks());
-    CHECK(bench.versions.servers() == 0);
+  SUBCASE("the server is removed") {
+    fixture.versions.gone(kServer);
+    fixture.told(1, "p1", {kSession1});
+    CHECK_FALSE(fixture.speaks());
+    CHECK(fixture.versions.servers() == 0);
   }
-  CHECK(bench.versions.pinned(CallId{5}) == kOne);
-  bench.versions.unpin(CallId{5});
-  CHECK(bench.versions.pins() == 0);
+  CHECK(fixture.versions.pinned(CallId{5}) == kSession1);
+  fixture.versions.unpin(CallId{5});
+  CHECK(fixture.versions.pins() == 0);
 }
 
-TEST_CASE("a server upgraded in place is noticed by what it denies") {
-  Bench bench;
-  bench.listed();
-  bench.connected(1);
-  bench.told(1, "p1", {kOne});
-  bench.taken();
-  bench.versions.denied(bench.now, kServer, 1, kOne, bench.actions);
-  CHECK(bench.taken() == Versions::Actions{changed(std::nullopt), ask(1)});
-  // It still claims what it has just denied: that is not believed of this process again.
-  bench.told(1, "p1", {kOne});
-  CHECK(bench.state() == VersionState::kBarred);
-  bench.told(1, "p2", {kOne});
-  CHECK(bench.speaks() == kOne);
-  // A denial of what it spoke before says nothing of what it speaks now.
-  bench.told(1, "p3", {kTwo});
-  bench.taken();
-  bench.versions.denied(bench.now, kServer, 1, kOne, bench.actions);
-  CHECK(bench.taken().empty());
-  CHECK(bench.speaks() == kTwo);
+TEST_CASE("an upgrade in place is detected by the server's rejection of the dialect") {
+  Fixture fixture;
+  fixture.listed();
+  fixture.connected(1);
+  fixture.told(1, "p1", {kSession1});
+  fixture.take_actions();
+  fixture.versions.denied(fixture.now, kServer, 1, kSession1, fixture.actions);
+  CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt), request_action(1)});
+  // A dialect that this process has rejected is not used again, even if the process announces it.
+  fixture.told(1, "p1", {kSession1});
+  CHECK(fixture.state() == VersionState::kUnsupported);
+  fixture.told(1, "p2", {kSession1});
+  CHECK(fixture.speaks() == kSession1);
+  // Rejecting an earlier dialect does not affect the current one.
+  fixture.told(1, "p3", {kSession2});
+  fixture.take_actions();
+  fixture.versions.denied(fixture.now, kServer, 1, kSession1, fixture.actions);
+  CHECK(fixture.take_actions().empty());
+  CHECK(fixture.speaks() == kSession2);
 }
 
-TEST_CASE("a server that does not answer is barred for a pause that doubles up to its bound") {
-  Bench bench;
-  bench.listed();
-  bench.connected(1);
-  bench.taken();
-  Duration pause = milliseconds{500};
+TEST_CASE("a server that does not answer is asked again after a delay that doubles up to its maximum") {
+  Fixture fixture;
+  fixture.listed();
+  fixture.connected(1);
+  fixture.take_actions();
+  Duration delay = milliseconds{500};
   for (int i = 0; i < 10; ++i) {
-    CHECK(bench.state() == VersionState::kAsking);
-    bench.pass(VersionRules{}.patience);
-    CHECK(bench.state() == VersionState::kBarred);
-    CHECK(bench.taken().empty());
-    bench.pass(pause - milliseconds{1});
-    CHECK(bench.taken().empty());
-    bench.pass(milliseconds{1});
-    CHECK(bench.taken() == Versions::Actions{ask(1)});
-    pause = std::min<Duration>(pause * 2, VersionRules{}.max_pause);
+    CHECK(fixture.state() == VersionState::kRequesting);
+    fixture.advance(VersionRules{}.answer_timeout);
+    CHECK(fixture.state() == VersionState::kUnsupported);
+    CHECK(fixture.take_actions().empty());
+    fixture.advance(delay - milliseconds{1});
+    CHECK(fixture.take_actions().empty());
+    fixture.advance(milliseconds{1});
+    CHECK(fixture.take_actions() == Versions::Actions{request_action(1)});
+    delay = std::min<Duration>(delay * 2, VersionRules{}.max_retry_delay);
   }
-  bench.told(1, "", {kOne});  // late, and still of this connection
-  CHECK(bench.speaks() == kOne);
+  fixture.told(1, "", {kSession1});  // late, but on the same connection
+  CHECK(fixture.speaks() == kSession1);
 }
 
-TEST_CASE("the operator's word stands, whatever the server says, until it is taken back") {
-  Bench bench;
-  bench.listed("a", 0, kSip);
-  CHECK(bench.taken() == Versions::Actions{changed(kSip)});
-  bench.connected(1);
-  bench.told(1, "p", {kTwo});
-  bench.versions.denied(bench.now, kServer, 1, kSip, bench.actions);
-  CHECK(bench.taken().empty());
-  CHECK(bench.speaks() == kSip);
-  bench.listed("b", 3, kSip);
-  CHECK(bench.taken().empty());
-  bench.listed("b", 3);
-  CHECK(bench.taken() == Versions::Actions{changed(std::nullopt), ask(1)});
+TEST_CASE("a configured dialect overrides the server's answers until it is removed") {
+  Fixture fixture;
+  fixture.listed("a", 0, kSip);
+  CHECK(fixture.take_actions() == Versions::Actions{changed_action(kSip)});
+  fixture.connected(1);
+  fixture.told(1, "p", {kSession2});
+  fixture.versions.denied(fixture.now, kServer, 1, kSip, fixture.actions);
+  CHECK(fixture.take_actions().empty());
+  CHECK(fixture.speaks() == kSip);
+  fixture.listed("b", 3, kSip);
+  CHECK(fixture.take_actions().empty());
+  fixture.listed("b", 3);
+  CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt), request_action(1)});
 }
 
-TEST_CASE("what was learned long ago is forgotten without a connection and asked again with one") {
-  Bench bench;
-  bench.listed();
-  bench.connected(1);
-  bench.told(1, "p", {kOne});
-  bench.taken();
-  bench.pass(VersionRules{}.keep);
-  CHECK(bench.taken() == Versions::Actions{ask(1)});
-  CHECK(bench.speaks() == kOne);
-  bench.versions.disconnected(bench.now, kServer, 1);
-  bench.pass(VersionRules{}.keep);
-  CHECK(bench.taken() == Versions::Actions{changed(std::nullopt)});
-  CHECK_FALSE(bench.versions.next_tick());
+TEST_CASE("a learned dialect expires without a connection and is requested again with one") {
+  Fixture fixture;
+  fixture.listed();
+  fixture.connected(1);
+  fixture.told(1, "p", {kSession1});
+  fixture.take_actions();
+  fixture.advance(VersionRules{}.learned_version_ttl);
+  CHECK(fixture.take_actions() == Versions::Actions{request_action(1)});
+  CHECK(fixture.speaks() == kSession1);
+  fixture.versions.disconnected(fixture.now, kServer, 1);
+  fixture.advance(VersionRules{}.learned_version_ttl);
+  CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt)});
+  CHECK_FALSE(fixture.versions.next_tick());
 }
 
-// The model knows the truth: which process is behind each connection and what that process speaks. Servers
-// are replaced, upgraded in place and silent at random, and news of it comes late or never.
-TEST_CASE("nothing is spoken but what a process behind a connection has said, and every question ends") {
+// The model knows which process is behind each connection and which dialects that process speaks. Servers are
+// replaced, reject dialects and leave requests unanswered at random, and the list announces replacements late
+// or never.
+TEST_CASE("only dialects announced on an established connection are used, and every request ends") {
   CHECK(rc::check("versions", [] {
     struct Process {
       std::string name;
       std::vector<DialectNo> spoken;
     };
-    Bench bench;
-    std::vector<Process> processes = {{"p0", {kOne}}};
-    std::map<std::uint64_t, std::size_t> connections;  // up, to the process behind
+    Fixture fixture;
+    std::vector<Process> processes = {{"p0", {kSession1}}};
+    std::map<std::uint64_t, std::size_t> connections;  // established connections and the process behind each
     std::uint64_t next_connection = 1;
-    std::set<DialectNo>
-        said;  // by any process that is still behind a connection, or was when it was last asked
-    std::deque<std::uint64_t> questions;
+    std::set<DialectNo> announced;  // by any process in an answer on an established connection
+    std::deque<std::uint64_t> requests;
     std::int64_t started = 1;
-    bench.listed("a", started);
+    fixture.listed("a", started);
     const int steps = *rc::gen::inRange(5, 60);
     for (int i = 0; i < steps; ++i) {
       switch (*rc::gen::inRange(0, 8)) {
-        case 0:  // replaced; its connections go, the list may tell
+        case 0:  // the process is replaced; its connections close, the list may announce it
           connections.clear();
           processes.push_back(
-              {std::to_string(processes.size()),
-               *rc::gen::elementOf(std::vector<std::vector<DialectNo>>{{kOne}, {kTwo}, {kOne, kTwo}, {}})});
+              {std::to_string(processes.size()), *rc::gen::elementOf(std::vector<std::vector<DialectNo>>{
+                                                     {kSession1}, {kSession2}, {kSession1, kSession2}, {}})});
           for (std::uint64_t c = 1; c < next_connection; ++c)
-            bench.versions.disconnected(bench.now, kServer, c);
-          if (*rc::gen::arbitrary<bool>()) bench.listed("a", ++started);
+            fixture.versions.disconnected(fixture.now, kServer, c);
+          if (*rc::gen::arbitrary<bool>()) fixture.listed("a", ++started);
           break;
         case 1:
           connections[next_connection] = processes.size() - 1;
-          bench.connected(next_connection++);
+          fixture.connected(next_connection++);
           break;
         case 2:
           if (!connections.empty()) {
             const auto at = connections.begin()->first;
             connections.erase(at);
-            bench.versions.disconnected(bench.now, kServer, at);
+            fixture.versions.disconnected(fixture.now, kServer, at);
           }
           break;
         case 3:
-        case 4:  // an answer, of a connection that is up or of one that has gone
-          if (!questions.empty()) {
-            const auto at = questions.front();
-            questions.pop_front();
+        case 4:  // an answer on an established or a closed connection
+          if (!requests.empty()) {
+            const auto at = requests.front();
+            requests.pop_front();
             const auto up = connections.find(at);
             const auto& process = processes[up != connections.end() ? up->second : 0];
-            const auto before = bench.speaks();
-            bench.told(at, process.name, process.spoken);
+            const auto before = fixture.speaks();
+            fixture.told(at, process.name, process.spoken);
             if (up == connections.end()) {
-              RC_ASSERT((bench.speaks() == before));
+              RC_ASSERT((fixture.speaks() == before));
             } else {
-              for (const auto one : process.spoken) said.insert(one);
+              for (const auto dialect : process.spoken) announced.insert(dialect);
             }
           }
           break;
         case 5:
-          bench.pass(milliseconds{*rc::gen::inRange(0, 40'000)});
+          fixture.advance(milliseconds{*rc::gen::inRange(0, 40'000)});
           break;
         case 6:
-          if (bench.speaks() && !connections.empty()) {
-            const auto was = *bench.speaks();
-            bench.versions.denied(bench.now, kServer, connections.begin()->first, was, bench.actions);
-            RC_ASSERT((!bench.speaks()));
+          if (fixture.speaks() && !connections.empty()) {
+            const auto previous = *fixture.speaks();
+            fixture.versions.denied(fixture.now, kServer, connections.begin()->first, previous,
+                                    fixture.actions);
+            RC_ASSERT((!fixture.speaks()));
           }
           break;
         default:
-          bench.listed("a", started);  // told again: no news
+          fixture.listed("a", started);  // listed again without a change
           break;
       }
       std::optional<DialectNo> last;
-      for (const auto& action : bench.taken()) {
-        if (action.what == VersionAction::What::kAsk) {
+      for (const auto& action : fixture.take_actions()) {
+        if (action.what == VersionAction::What::kRequest) {
           RC_ASSERT((connections.contains(action.connection)));
-          questions.push_back(action.connection);
+          requests.push_back(action.connection);
         } else {
           last = action.dialect;
         }
       }
-      if (const auto now = bench.speaks()) {
-        RC_ASSERT((said.contains(*now)));
-        RC_ASSERT((bench.state() == VersionState::kKnown));
+      if (const auto now = fixture.speaks()) {
+        RC_ASSERT((announced.contains(*now)));
+        RC_ASSERT((fixture.state() == VersionState::kKnown));
       }
-      // No question stays out for ever.
-      if (bench.state() == VersionState::kAsking || bench.state() == VersionState::kBarred) {
-        RC_ASSERT((bench.versions.next_tick().has_value()));
-        RC_ASSERT((*bench.versions.next_tick() <= bench.now + VersionRules{}.max_pause));
+      // Every request has a timeout, and every delay ends.
+      if (fixture.state() == VersionState::kRequesting || fixture.state() == VersionState::kUnsupported) {
+        RC_ASSERT((fixture.versions.next_tick().has_value()));
+        RC_ASSERT((*fixture.versions.next_tick() <= fixture.now + VersionRules{}.max_retry_delay));
       }
-      if (bench.state() == VersionState::kUnknown) RC_ASSERT((connections.empty()));
+      if (fixture.state() == VersionState::kUnknown) RC_ASSERT((connections.empty()));
     }
   }));
 }
@@ -299,7 +302,7 @@
 
 }  // namespace
 
-TEST_CASE("keys are of all parts, with their lengths") {
+TEST_CASE("a request key depends on each part, on the lengths and on the seed") {
   const auto made = request_key(1, "12", "3", "000001", "1201093000");
   CHECK(made == request_key(1, "12", "3", "000001", "1201093000"));
   CHECK_FALSE(made == request_key(2, "12", "3", "000001", "1201093000"));
@@ -308,81 +311,81 @@
   CHECK_FALSE(made == request_key(1, "12", "3", "000001", "1201093001"));
 }
 
-TEST_CASE("a repeat is the same call and hears the same answer") {
-  using What = DuplicateIndex::Seen::What;
+TEST_CASE("a repeated request gets the call and the answer of the first one") {
+  using Status = DuplicateIndex::RequestResult::Status;
   Instant now{seconds{50}};
   DuplicateIndex index(now, {});
-  CHECK(index.request(now, key(1), CallId{10}).what == What::kNew);
-  auto seen = index.request(now, key(1), CallId{11});
-  CHECK(seen.what == What::kSame);
-  CHECK(seen.call == CallId{10});
+  CHECK(index.request(now, key(1), CallId{10}).status == Status::kNew);
+  auto result = index.request(now, key(1), CallId{11});
+  CHECK(result.status == Status::kPending);
+  CHECK(result.call == CallId{10});
   CHECK(index.answered(now, key(1), "0110 approved"));
   CHECK_FALSE(index.answered(now, key(1), "twice"));
-  seen = index.request(now, key(1), CallId{12});
-  CHECK(seen.what == What::kAnswered);
-  CHECK(seen.answer == "0110 approved");
-  // Too long to keep: never set up twice all the same.
+  result = index.request(now, key(1), CallId{12});
+  CHECK(result.status == Status::kAnswered);
+  CHECK(result.answer == "0110 approved");
+  // The answer is too long to keep, but the request is not set up twice.
   index.request(now, key(2), CallId{13});
   CHECK(index.answered(now, key(2), std::string(5000, 'x')));
-  CHECK(index.request(now, key(2), CallId{14}).what == What::kForgotten);
-  // What ran nowhere may be asked again.
+  CHECK(index.request(now, key(2), CallId{14}).status == Status::kAnswerNotKept);
+  // A request that was not set up at any server may be repeated as a new one.
   index.request(now, key(3), CallId{15});
-  CHECK(index.dropped(key(3)));
-  CHECK(index.request(now, key(3), CallId{16}).what == What::kNew);
+  CHECK(index.remove_open(key(3)));
+  CHECK(index.request(now, key(3), CallId{16}).status == Status::kNew);
   now += minutes{6};
-  CHECK(index.request(now, key(1), CallId{17}).what == What::kNew);
+  CHECK(index.request(now, key(1), CallId{17}).status == Status::kNew);
 }
 
-TEST_CASE("a reversal ends its request, also when it comes first") {
-  using Seen = DuplicateIndex::Seen::What;
-  using What = DuplicateIndex::Reversal::What;
+TEST_CASE("a reversal ends its request, even if it arrives first") {
+  using RequestStatus = DuplicateIndex::RequestResult::Status;
+  using Status = DuplicateIndex::ReversalResult::Status;
   const Instant now{seconds{50}};
   DuplicateIndex index(now, {});
-  CHECK(index.reverse(now, key(1)).what == What::kEarly);
-  CHECK(index.reverse(now, key(1)).what == What::kAgain);
-  CHECK(index.request(now, key(1), CallId{1}).what == Seen::kReversed);
-  CHECK(index.request(now, key(1), CallId{2}).what == Seen::kReversed);
+  CHECK(index.reverse(now, key(1)).status == Status::kBeforeRequest);
+  CHECK(index.reverse(now, key(1)).status == Status::kAlreadyReversed);
+  CHECK(index.request(now, key(1), CallId{1}).status == RequestStatus::kReversed);
+  CHECK(index.request(now, key(1), CallId{2}).status == RequestStatus::kReversed);
   index.request(now, key(2), CallId{3});
-  const auto open = index.reverse(now, key(2));
-  CHECK(open.what == What::kEndOpen);
-  CHECK(open.call == CallId{3});
+  const auto open_reversal = index.reverse(now, key(2));
+  CHECK(open_reversal.status == Status::kGiveUp);
+  CHECK(open_reversal.call == CallId{3});
   CHECK_FALSE(index.answered(now, key(2), "crossed"));
   index.request(now, key(3), CallId{4});
   index.answered(now, key(3), "yes");
-  const auto stands = index.reverse(now, key(3));
-  CHECK(stands.what == What::kRelease);
-  CHECK(stands.call == CallId{4});
-  CHECK(index.reverse(now, key(3)).what == What::kAgain);
+  const auto answered_reversal = index.reverse(now, key(3));
+  CHECK(answered_reversal.status == Status::kRelease);
+  CHECK(answered_reversal.call == CallId{4});
+  CHECK(index.reverse(now, key(3)).status == Status::kAlreadyReversed);
 }
 
-TEST_CASE("full of open requests it refuses, and never forgets one, and what is over goes first") {
-  using What = DuplicateIndex::Seen::What;
+TEST_CASE("an index full of open requests rejects new ones, and evicts only completed ones, oldest first") {
+  using Status = DuplicateIndex::RequestResult::Status;
   const Instant now{seconds{50}};
   DuplicateRules rules;
   rules.max_bytes = 16 * 1024;
   DuplicateIndex index(now, rules);
-  const auto most = index.max_entries();
-  for (std::size_t i = 0; i < most; ++i) {
-    REQUIRE(index.request(now, key(i), CallId{static_cast<std::uint32_t>(i)}).what == What::kNew);
+  const auto max_entries = index.max_entries();
+  for (std::size_t i = 0; i < max_entries; ++i) {
+    REQUIRE(index.request(now, key(i), CallId{static_cast<std::uint32_t>(i)}).status == Status::kNew);
   }
-  CHECK(index.request(now, key(most), CallId{0}).what == What::kNoRoom);
-  CHECK(index.reverse(now, key(most)).what == DuplicateIndex::Reversal::What::kNoRoom);
+  CHECK(index.request(now, key(max_entries), CallId{0}).status == Status::kIndexFull);
+  CHECK(index.reverse(now, key(max_entries)).status == DuplicateIndex::ReversalResult::Status::kIndexFull);
   CHECK(index.answered(now, key(3), "a"));
   CHECK(index.answered(now, key(1), "b"));
-  CHECK(index.request(now, key(most), CallId{0}).what == What::kNew);
-  CHECK_FALSE(index.state(key(3)));  // over first, so gone first
+  CHECK(index.request(now, key(max_entries), CallId{0}).status == Status::kNew);
+  CHECK_FALSE(index.state(key(3)));  // completed first, so evicted first
   CHECK(index.state(key(1)) == RequestState::kAnswered);
-  for (std::size_t i = 0; i < most; ++i) {
+  for (std::size_t i = 0; i < max_entries; ++i) {
     if (i != 3 && i != 1) CHECK(index.state(key(i)) == RequestState::kOpen);
   }
-  CHECK(index.counts().no_room == 2);
+  CHECK(index.counts().index_full == 2);
   CHECK(index.counts().evicted == 1);
 }
 
-TEST_CASE("the index does what a plain map does, whatever comes, and stays within its bytes") {
-  using What = DuplicateIndex::Seen::What;
+TEST_CASE("the index behaves as a plain map under random events and stays within its bytes") {
+  using Status = DuplicateIndex::RequestResult::Status;
   CHECK(rc::check("duplicates", [] {
-    struct Plain {
+    struct Entry {
       RequestState state;
       CallId call;
       std::string answer;
@@ -391,15 +394,16 @@
     };
     DuplicateRules rules;
     rules.max_bytes = std::size_t{1} << *rc::gen::inRange(13, 18);
-    rules.max_answer = 200;
+    rules.max_answer_bytes = 200;
     Instant now{seconds{*rc::gen::inRange(1, 100'000)}};
     DuplicateIndex index(now, rules);
-    std::map<std::uint64_t, Plain> model;
+    std::map<std::uint64_t, Entry> model;
     std::uint64_t order = 0;
-    // Few keys: they meet often. Their homes are close together, so that runs are long and are closed up.
+    // Few keys, so that they repeat often. Adjacent home slots give long probe sequences, which erasing has
+    // to shift back.
     const auto keys = *rc::gen::elementOf(std::vector<std::uint64_t>{4, 60, 4000});
-    const auto close = *rc::gen::arbitrary<bool>();
-    const auto key_of = [&](std::uint64_t n) { return close ? RequestKey{n, n / 8} : key(n); };
+    const auto adjacent = *rc::gen::arbitrary<bool>();
+    const auto key_of = [&](std::uint64_t n) { return adjacent ? RequestKey{n, n / 8} : key(n); };
     const Duration tick = rules.over / 500;
     const int steps = *rc::gen::inRange(10, 900);
     std::uint32_t next_call = 1;
@@ -407,68 +411,68 @@
     for (int i = 0; i < steps; ++i) {
       const std::uint64_t n = *rc::gen::inRange<std::uint64_t>(0, keys);
       const auto before = evicted();
-      // What is over due in the model may be forgotten up to a tick later by the index.
+      // The index may remove an expired entry up to a tick later than the model.
       const auto found = model.find(n);
-      const int what = *rc::gen::inRange(0, 10);
-      if (what < 5) {
+      const int event = *rc::gen::inRange(0, 10);
+      if (event < 5) {
         const CallId call{next_call++};
-        const auto seen = index.request(now, key_of(n), call);
-        const std::string answer(seen.answer);
+        const auto result = index.request(now, key_of(n), call);
+        const std::string answer(result.answer);
         const auto state = index.state(key_of(n));
-        if (found != model.end() && seen.what == What::kNew) {
+        if (found != model.end() && result.status == Status::kNew) {
           RC_ASSERT((now >= found->second.due));
           model.erase(n);
         }
-        const auto there = model.find(n);
-        if (there == model.end()) {
-          RC_ASSERT((seen.what == What::kNew || seen.what == What::kNoRoom));
-          if (seen.what == What::kNew) {
+        const auto expected = model.find(n);
+        if (expected == model.end()) {
+          RC_ASSERT((result.status == Status::kNew || result.status == Status::kIndexFull));
+          if (result.status == Status::kNew) {
             RC_ASSERT((state == RequestState::kOpen));
             model[n] = {RequestState::kOpen, call, {}, now + rules.open, order++};
           }
         } else {
-          RC_ASSERT((now < there->second.due + 2 * tick));
-          RC_ASSERT((seen.call == there->second.call));
-          switch (there->second.state) {
+          RC_ASSERT((now < expected->second.due + 2 * tick));
+          RC_ASSERT((result.call == expected->second.call));
+          switch (expected->second.state) {
             case RequestState::kOpen:
-              RC_ASSERT((seen.what == What::kSame));
+              RC_ASSERT((result.status == Status::kPending));
               break;
             case RequestState::kAnswered:
-              RC_ASSERT((seen.what == What::kAnswered || seen.what == What::kForgotten));
-              if (seen.what == What::kAnswered) RC_ASSERT((answer == there->second.answer));
+              RC_ASSERT((result.status == Status::kAnswered || result.status == Status::kAnswerNotKept));
+              if (result.status == Status::kAnswered) RC_ASSERT((answer == expected->second.answer));
               break;
             case RequestState::kReversed:
-              RC_ASSERT((seen.what == What::kReversed));
+              RC_ASSERT((result.status == Status::kReversed));
               break;
           }
         }
-      } else if (what < 7) {
+      } else if (event < 7) {
         const std::string answer(*rc::gen::inRange<std::size_t>(0, 260), static_cast<char>('a' + n % 26));
-        const bool taken = index.answered(now, key_of(n), answer);
-        if (taken) {
+        const bool accepted = index.answered(now, key_of(n), answer);
+        if (accepted) {
           RC_ASSERT((found != model.end() && found->second.state == RequestState::kOpen));
           found->second = {RequestState::kAnswered, found->second.call, answer, now + rules.over, order++};
         } else if (found != model.end() && found->second.state == RequestState::kOpen) {
           RC_ASSERT((now >= found->second.due));
           model.erase(found);
         }
-      } else if (what == 7) {
-        using Reversal = DuplicateIndex::Reversal::What;
+      } else if (event == 7) {
+        using Reversal = DuplicateIndex::ReversalResult::Status;
         const auto reversal = index.reverse(now, key_of(n));
-        if (reversal.what == Reversal::kEarly) {
+        if (reversal.status == Reversal::kBeforeRequest) {
           RC_ASSERT((found == model.end() || now >= found->second.due));
           model[n] = {RequestState::kReversed, CallId{}, {}, now + rules.over, order++};
-        } else if (reversal.what != Reversal::kNoRoom) {
+        } else if (reversal.status != Reversal::kIndexFull) {
           RC_ASSERT((found != model.end()));
           const auto state = found->second.state;
-          RC_ASSERT(((reversal.what == Reversal::kEndOpen) == (state == RequestState::kOpen)));
-          RC_ASSERT(((reversal.what == Reversal::kRelease) == (state == RequestState::kAnswered)));
+          RC_ASSERT(((reversal.status == Reversal::kGiveUp) == (state == RequestState::kOpen)));
+          RC_ASSERT(((reversal.status == Reversal::kRelease) == (state == RequestState::kAnswered)));
           if (state != RequestState::kReversed) {
             found->second = {RequestState::kReversed, found->second.call, {}, now + rules.over, order++};
           }
         }
-      } else if (what == 8) {
-        if (index.dropped(key_of(n))) {
+      } else if (event == 8) {
+        if (index.remove_open(key_of(n))) {
           RC_ASSERT((found != model.end() && found->second.state == RequestState::kOpen));
           model.erase(found);
         }
@@ -478,7 +482,7 @@
       std::erase_if(model, [&](const auto& item) {
         return now >= item.second.due && !index.state(key_of(item.first));
       });
-      // What was evicted was the oldest of what is over.
+      // The evicted entries are the ones that were completed first.
       for (auto evictions = evicted() - before; evictions > 0; --evictions) {
         auto oldest = model.end();
         for (auto at = model.begin(); at != model.end(); ++at) {
@@ -486,8 +490,8 @@
           if (oldest == model.end() || at->second.order < oldest->second.order) oldest = at;
         }
         if (oldest == model.end()) break;
-        for (const auto& [other, plain] : model) {
-          if (plain.state != RequestState::kOpen && plain.order < oldest->second.order) {
+        for (const auto& [other, entry] : model) {
+          if (entry.state != RequestState::kOpen && entry.order < oldest->second.order) {
             RC_ASSERT((!index.state(key_of(other))));
           }
         }
@@ -497,11 +501,11 @@
       RC_ASSERT((index.size() <= index.max_entries()));
     }
     index.advance(now);
-    // All that is not due is there, with its state; all that is long due is not.
-    for (const auto& [n, plain] : model) {
+    // Entries that have not expired are present with their state; those long expired are not.
+    for (const auto& [n, entry] : model) {
       const auto state = index.state(key_of(n));
-      if (now < plain.due) RC_ASSERT((state == plain.state));
-      if (now > plain.due + 2 * tick) RC_ASSERT((!state));
+      if (now < entry.due) RC_ASSERT((state == entry.state));
+      if (now > entry.due + 2 * tick) RC_ASSERT((!state));
     }
     now += minutes{10};
     index.advance(now);
