--- a/src/tool/commands.cpp
+++ b/src/tool/commands.cpp
@@ -15,15 +15,15 @@
 using translate::Dialect;
 using translate::Kind;
 
-const std::vector<std::string> kClients = {"json-lines", "diameter", "iso8583"};
-const std::vector<std::string> kServers = {"sip", "diameter-server", "session-1", "session-2"};
+const std::vector<std::string> kClientDialects = {"json-lines", "diameter", "iso8583"};
+const std::vector<std::string> kServerDialects = {"sip", "diameter-server", "session-1", "session-2"};
 
-std::string about(const core::ErrorMeaning& meaning) {
+std::string describe(const core::ErrorMeaning& meaning) {
   std::string text(core::name_of(meaning.reason));
-  text += meaning.ran == core::Ran::kNo ? ", nothing ran" : ", may have run";
-  text += meaning.about == core::About::kServer    ? ", of the server"
-          : meaning.about == core::About::kVersion ? ", of its version"
-                                                   : ", of the call";
+  text += meaning.ran == core::Ran::kNo ? ", not executed" : ", may have been executed";
+  text += meaning.about == core::About::kServer    ? ", about the server"
+          : meaning.about == core::About::kVersion ? ", about its version"
+                                                   : ", about the call";
   return text;
 }
 
@@ -46,10 +46,10 @@
   try {
     const auto file = app::read_operator_file(json);
     const auto translator = app::make_translator(file);
-    out << name << ": good";
+    out << name << ": valid";
     if (translator)
-      out << ", " << translator->clients() << " clients' and " << translator->servers()
-          << " servers' dialects";
+      out << ", " << translator->clients() << " client dialects and " << translator->servers()
+          << " server dialects";
     out << "\n";
     return true;
   } catch (const app::ConfigError& error) {
@@ -58,18 +58,18 @@
   }
 }
 
-translate::Table table_of(const std::string& json) {
+translate::Table read_translation_table(const std::string& json) {
   return app::read_operator_file(json).translate;
 }
 
 bool explain(const std::string& from, const std::string& to, const std::string& kind_name,
-             const translate::Table& table, const std::vector<std::pair<std::string, std::string>>& given,
-             std::ostream& out) {
+             const translate::Table& table,
+             const std::vector<std::pair<std::string, std::string>>& field_values, std::ostream& out) {
   const auto* source = translate::find_dialect(from);
   const auto* target = translate::find_dialect(to);
   const auto kind = translate::kind_of(kind_name);
   if (source == nullptr || target == nullptr || !kind) {
-    out << "no such "
+    out << "unknown "
         << (source == nullptr   ? "dialect: " + from
             : target == nullptr ? "dialect: " + to
                                 : "kind: " + kind_name)
@@ -81,93 +81,93 @@
   for (const auto& fault : faults) out << fault << "\n";
   if (!program) return false;
   const auto& fields = source->of(*kind);
-  translate::Record in, said;
-  for (const auto& [name, value] : given) {
-    const auto at = translate::index_of(fields, name);
-    if (at == fields.size()) {
+  translate::Record in, translated;
+  for (const auto& [name, value] : field_values) {
+    const auto index = translate::index_of(fields, name);
+    if (index == fields.size()) {
       out << from << " has no field " << name << "\n";
       return false;
     }
-    if (translate::is_textual(fields[at].type)) {
-      in.set(at, std::string_view(value));
+    if (translate::is_textual(fields[index].type)) {
+      in.set(index, std::string_view(value));
       continue;
     }
     std::int64_t number = 0;
-    const auto [end, bad] = std::from_chars(value.data(), value.data() + value.size(), number);
-    if (bad != std::errc{} || end != value.data() + value.size()) {
+    const auto [end, parse_error] = std::from_chars(value.data(), value.data() + value.size(), number);
+    if (parse_error != std::errc{} || end != value.data() + value.size()) {
       out << name << " is not a number: " << value << "\n";
       return false;
     }
-    in.set(at, number);
+    in.set(index, number);
   }
-  if (const auto bad = translate::fault_in(fields, in)) {
-    out << fields[*bad].name << (in.has(*bad) ? " cannot hold that" : " is missing") << ": a "
-        << name_of(fields[*bad].type) << " from " << fields[*bad].least << " to " << fields[*bad].most
-        << "\n";
+  if (const auto invalid = translate::fault_in(fields, in)) {
+    out << fields[*invalid].name << (in.has(*invalid) ? " has an invalid value" : " is missing")
+        << ": expected a " << name_of(fields[*invalid].type) << " from " << fields[*invalid].least << " to "
+        << fields[*invalid].most << "\n";
     return false;
   }
-  const auto answer = program->run(in, said);
+  const auto result = program->run(in, translated);
   const auto& to_fields = program->to_fields();
-  if (!answer) {
-    out << "not eligible for " << to << ": " << to_fields[answer.field].name << ": "
-        << translate::text_of(answer.bar) << "\n";
+  if (!result) {
+    out << "not eligible for " << to << ": " << to_fields[result.field].name << ": "
+        << translate::describe(result.failure) << "\n";
   }
-  for (const auto& line : program->lines()) {
-    if (line.lost) {
-      const auto at = translate::index_of(fields, line.field);
-      if (in.has(at)) out << line.field << ": " << line.says << "\n";
+  for (const auto& note : program->notes()) {
+    if (note.lost) {
+      const auto index = translate::index_of(fields, note.field);
+      if (in.has(index)) out << note.field << ": " << note.text << "\n";
       continue;
     }
-    const auto at = translate::index_of(to_fields, line.field);
-    out << line.field;
-    if (at < to_fields.size() && answer && said.has(at)) {
+    const auto index = translate::index_of(to_fields, note.field);
+    out << note.field;
+    if (index < to_fields.size() && result && translated.has(index)) {
       out << " = "
-          << (translate::is_textual(to_fields[at].type) ? std::string(said.text(at))
-                                                        : std::to_string(said.number(at)));
+          << (translate::is_textual(to_fields[index].type) ? std::string(translated.text(index))
+                                                           : std::to_string(translated.number(index)));
     }
-    out << ": " << line.says << "\n";
+    out << ": " << note.text << "\n";
   }
-  return static_cast<bool>(answer);
+  return static_cast<bool>(result);
 }
 
 bool matrix(const translate::Table& table, std::ostream& out) {
-  const translate::Translator translator(kClients, kServers, table);
-  bool all = true;
-  out << "reach (what is lost on the way of a set-up):\n";
+  const translate::Translator translator(kClientDialects, kServerDialects, table);
+  bool all_mapped = true;
+  out << "translation of set-ups (and the fields that are lost):\n";
   for (std::size_t client = 0; client < translator.clients(); ++client) {
     for (std::size_t i = 0; i < translator.servers(); ++i) {
-      const auto no = static_cast<ProtocolVersion>(i);
-      const auto* mapping = translator.mapping(client, no);
-      out << "  " << translator.client(client).name << " to " << translator.server(no).name << ": ";
+      const auto version = static_cast<ProtocolVersion>(i);
+      const auto* mapping = translator.mapping(client, version);
+      out << "  " << translator.client(client).name << " to " << translator.server(version).name << ": ";
       if (mapping == nullptr) {
-        all = false;
+        all_mapped = false;
         out << "refused\n";
         continue;
       }
       std::string lost;
-      for (const auto& line : mapping->set_up.lines()) {
-        if (line.lost) lost += (lost.empty() ? "" : ", ") + line.field;
+      for (const auto& note : mapping->set_up.notes()) {
+        if (note.lost) lost += (lost.empty() ? "" : ", ") + note.field;
       }
       out << (lost.empty() ? "nothing is lost" : "loses " + lost) << "\n";
     }
   }
   for (const auto& fault : translator.faults()) out << "  fault: " << fault << "\n";
-  out << "errors (what each client hears):\n";
+  out << "errors (and the code that each client receives):\n";
   for (std::size_t i = 0; i < translator.servers(); ++i) {
     const auto& server = translator.server(static_cast<ProtocolVersion>(i));
     for (const auto& error : server.errors) {
-      out << "  " << server.name << " " << code_of(error) << ": " << about(error.meaning) << ":";
+      out << "  " << server.name << " " << code_of(error) << ": " << describe(error.meaning) << ":";
       for (std::size_t client = 0; client < translator.clients(); ++client) {
         const auto& dialect = translator.client(client);
-        const auto& word = translate::word_for(dialect, error.meaning.reason);
-        out << (client == 0 ? " " : ", ") << dialect.name << " " << word.code;
+        const auto& reason_code = translate::word_for(dialect, error.meaning.reason);
+        out << (client == 0 ? " " : ", ") << dialect.name << " " << reason_code.code;
       }
       out << (core::facts_of(error.meaning.reason).final_answer == core::Final::kRejected ? " (refused)"
                                                                                           : " (failed)")
           << "\n";
     }
   }
-  return all;
+  return all_mapped;
 }
 
 }  // namespace amberknot::tool
--- a/src/tool/commands.hpp
+++ b/src/tool/commands.hpp
@@ -1,5 +1,5 @@
-// What the operators' command line does, as functions from texts to text: main.cpp only reads words and
-// files.
+// The commands of the operators' command line. They work on texts and write to a stream; main.cpp reads the
+// arguments and files.
 #pragma once
 
 #include <ostream>
@@ -11,21 +11,24 @@
 
 namespace amberknot::tool {
 
-/// One operator's file: the faults a router would not start with. True: there is none. Each line names the
-/// file.
+/// Checks an operator's file as a router does when it starts, and writes the result to `out`, with `name` as
+/// the name of the file. Returns true if a router would start with the file.
 bool check(const std::string& name, const std::string& json, std::ostream& out);
 
-/// The table of an operator's file; empty without one. Throws app::ConfigError.
-translate::Table table_of(const std::string& json);
+/// Returns the translation table of an operator's file, empty if it has none. Throws app::ConfigError if the
+/// file is invalid.
+translate::Table read_translation_table(const std::string& json);
 
-/// One message of `from` said in `to`, with the reason for each field. False: it cannot be said, or what was
-/// given is no such message; `out` says why.
-bool explain(const std::string& from, const std::string& to, const std::string& kind,
-             const translate::Table& table, const std::vector<std::pair<std::string, std::string>>& fields,
-             std::ostream& out);
+/// Translates one message with the given `field_values` from dialect `from` to dialect `to`, and writes the
+/// value of each field and where it comes from. Returns false, with the reason in `out`, if the message is
+/// invalid or not eligible for `to`.
+bool explain(const std::string& from, const std::string& to, const std::string& kind_name,
+             const translate::Table& table,
+             const std::vector<std::pair<std::string, std::string>>& field_values, std::ostream& out);
 
-/// Which client reaches which server, what is lost on the way, and what each client hears for each error.
-/// False: some pair cannot be reached; its faults are told.
+/// Writes for each client dialect which server dialects its set-ups can be translated to and which fields are
+/// lost, and for each error of a server the code that each client receives. Returns false, with the faults in
+/// `out`, if a pair of dialects has no valid mapping.
 bool matrix(const translate::Table& table, std::ostream& out);
 
 }  // namespace amberknot::tool
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -1,4 +1,6 @@
-// The operators' command line: reads words and files, and does what tool/commands.hpp says.
+// The operators' command line: parses the arguments, reads the files and runs the commands of
+// tool/commands.hpp. Exits with 0 on success, 1 if a file or message is invalid, and 2 on wrong usage or an
+// unreadable file.
 #include <CLI/CLI.hpp>
 #include <exception>
 #include <iostream>
@@ -10,8 +12,8 @@
 
 using namespace amberknot;
 
-int main(int count, char** words) {
-  CLI::App program("amberknot: checks and explains what an operator sets up");
+int main(int argc, char** argv) {
+  CLI::App program("amberknot: checks operators' files and explains the translation between protocols");
   program.footer(
       "Examples:\n"
       "  amberknot check deploy/operator.json\n"
@@ -22,7 +24,7 @@
   int status = 0;
 
   std::vector<std::string> files;
-  auto* check = program.add_subcommand("check", "operator's files: whether a router starts with them");
+  auto* check = program.add_subcommand("check", "check whether a router starts with these operator's files");
   check->add_option("FILE", files, "files to check")->required();
   check->callback([&] {
     for (const auto& file : files) {
@@ -31,15 +33,15 @@
   });
 
   std::string file;
-  auto* translate = program.add_subcommand("translate", "how the protocols are explained in each other");
+  auto* translate = program.add_subcommand("translate", "show how messages are translated between protocols");
   translate->require_subcommand(1);
   const auto table = [&file] {
-    return file.empty() ? translate::Table() : tool::table_of(app::read_file(file));
+    return file.empty() ? translate::Table() : tool::read_translation_table(app::read_file(file));
   };
 
   auto* matrix = translate->add_subcommand(
-      "matrix", "which client reaches which server, what is lost, which error says what");
-  matrix->add_option("--operator", file, "the operator's file whose rows and errors count");
+      "matrix", "show the mappings between all dialects, the lost fields and the error codes");
+  matrix->add_option("--operator", file, "operator's file with rows and errors to apply");
   matrix->callback([&] {
     if (!tool::matrix(table(), std::cout)) status = 1;
   });
@@ -48,29 +50,29 @@
   std::string to;
   std::string kind = "set-up";
   std::vector<std::string> fields;
-  auto* explain = translate->add_subcommand(
-      "explain", "one message in, the other dialect out, with the reason for each field");
+  auto* explain =
+      translate->add_subcommand("explain", "translate one message to another dialect and explain each field");
   explain->add_option("FROM", from, "dialect of the message")->required();
-  explain->add_option("TO", to, "dialect to say it in")->required();
-  explain->add_option("FIELD=VALUE", fields, "the message's fields");
-  explain->add_option("--kind", kind, "set-up, answer, give-up or release");
-  explain->add_option("--operator", file, "the operator's file whose rows count");
+  explain->add_option("TO", to, "dialect to translate it to")->required();
+  explain->add_option("FIELD=VALUE", fields, "fields of the message");
+  explain->add_option("--kind", kind, "kind of message: set-up, answer, give-up or release");
+  explain->add_option("--operator", file, "operator's file with rows to apply");
   explain->callback([&] {
-    std::vector<std::pair<std::string, std::string>> given;
+    std::vector<std::pair<std::string, std::string>> field_values;
     for (const auto& field : fields) {
-      const auto equals = field.find('=');
-      if (equals == std::string::npos) throw CLI::ValidationError("FIELD=VALUE", field + " has no =");
-      given.emplace_back(field.substr(0, equals), field.substr(equals + 1));
+      const auto equals_sign = field.find('=');
+      if (equals_sign == std::string::npos) throw CLI::ValidationError("FIELD=VALUE", field + " has no '='");
+      field_values.emplace_back(field.substr(0, equals_sign), field.substr(equals_sign + 1));
     }
-    if (!tool::explain(from, to, kind, table(), given, std::cout)) status = 1;
+    if (!tool::explain(from, to, kind, table(), field_values, std::cout)) status = 1;
   });
 
-  program.add_subcommand("version", "the version of this program")->callback([] {
+  program.add_subcommand("version", "print the version of this program")->callback([] {
     std::cout << "amberknot " << AMBERKNOT_VERSION << "\n";
   });
 
   try {
-    program.parse(count, words);
+    program.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     return program.exit(error) == 0 ? 0 : 2;
   } catch (const std::exception& error) {
--- a/src/translate/dialect.hpp
+++ b/src/translate/dialect.hpp
@@ -1,5 +1,6 @@
-// One version of one protocol: the fields of its messages, what each may hold, which must be there, the
-// errors that a server may answer and the words that a client understands.
+// Description of a dialect, that is, one version of one protocol: the fields of its messages with their types
+// and ranges, the errors that its servers may answer, and the codes by which its clients learn how a call
+// ended.
 #pragma once
 
 #include <cstdint>
@@ -12,85 +13,95 @@
 
 namespace amberknot::translate {
 
-/// How a field's value is held in a Record.
+/// The type of a field's value. Textual types are held in a Record as texts, the others as integers.
 enum class Type : std::uint8_t {
-  kText,      ///< any bytes; `least` and `most` are its length
-  kToken,     ///< printable ASCII without spaces; length as above
-  kDigits,    ///< decimal digits; length as above
-  kHex,       ///< lower-case hex digits; length as above
+  kText,      ///< any bytes; `least` and `most` bound the length in bytes
+  kToken,     ///< printable ASCII without spaces; length in bytes as above
+  kDigits,    ///< decimal digits; length in bytes as above
+  kHex,       ///< lower-case hex digits; length in bytes as above
   kWord,      ///< one of `words`
-  kNumber,    ///< an integer; `least` and `most` are its range
-  kDuration,  ///< an integer of `unit` microseconds; the range is in microseconds
+  kNumber,    ///< an integer from `least` to `most`
+  kDuration,  ///< a count of `unit` microseconds; `least` and `most` are in microseconds
 };
+/// The name of a type in messages for operators.
 std::string_view name_of(Type type);
+/// Whether values of the type are texts rather than integers.
 inline constexpr bool is_textual(Type type) {
   return type <= Type::kWord;
 }
 
+/// Description of one field of a message.
 struct FieldSpec {
-  std::string name;  ///< as on the wire
+  std::string name;  ///< the field's name on the wire
   Meaning meaning = Meaning::kNone;
   Type type = Type::kText;
   std::int64_t least = 0;
   std::int64_t most = 0;
   bool required = false;
-  std::int64_t unit = 1000;             ///< kDuration: microseconds of one
-  std::vector<std::string> words = {};  ///< kWord
+  std::int64_t unit = 1000;             ///< kDuration: length of one unit in microseconds
+  std::vector<std::string> words = {};  ///< kWord: the allowed values
 };
 
-/// An error of a server's dialect, by number: a status, Result-Code or response code, both ends included. A
-/// named error (a problem type of RFC 9457) has the name too, and goes before those that have none.
+/// An error of a server's dialect, by its range of codes (HTTP or SIP status, Result-Code or response code;
+/// both ends included). A named error (such as a problem type of RFC 9457) also requires the name, and takes
+/// precedence over errors without a name.
 struct ErrorSpec {
   std::uint32_t from = 0;
   std::uint32_t to = 0;
-  std::string name;  ///< empty: any of these numbers that no named error takes
+  std::string name;  ///< empty: matches any name for which there is no named error
   ErrorMeaning meaning;
 };
 
-/// What a client's dialect says for a reason.
-struct WordSpec {
+/// The code by which a client's dialect reports a reason.
+struct ReasonCode {
   Reason reason{};
   std::uint32_t code = 0;  ///< Q.850 cause, Result-Code or response code
-  std::string text = {};   ///< what the code is called there
+  std::string name = {};   ///< name of the code in that protocol
 };
 
+/// One version of one protocol.
 struct Dialect {
   std::string name;
   std::uint32_t version = 1;
-  std::vector<FieldSpec> fields[kKinds];  ///< by Kind; at most kMostFields each
-  std::vector<ErrorSpec> errors;          ///< servers' dialects
-  std::vector<WordSpec> words;            ///< clients' dialects
-  bool states_retry_after = false;        ///< a refusal can say when to come back
+  std::vector<FieldSpec> fields[kKinds];  ///< indexed by Kind; at most kMaxFields each
+  std::vector<ErrorSpec> errors;          ///< only in dialects of servers
+  std::vector<ReasonCode> reason_codes;   ///< only in dialects of clients
+  bool states_retry_after = false;        ///< a rejection can state when to try again
 
+  /// The fields of messages of that kind.
   [[nodiscard]] const std::vector<FieldSpec>& of(Kind kind) const {
     return fields[static_cast<std::size_t>(kind)];
   }
 };
+/// Most fields that a message may have.
 inline constexpr std::size_t kMaxFields = 32;
 
-/// Index of the field of that name; none: the number of fields.
+/// Returns the index of the field with that name, or the number of fields if there is none.
 std::size_t index_of(const std::vector<FieldSpec>& fields, std::string_view name);
-/// The same by what the field means; no two fields of a message mean the same, and none is found for kNone.
+/// Returns the index of the field with that meaning, or the number of fields if there is none. Each meaning
+/// occurs at most once in a message; kNone is never found.
 std::size_t index_of(const std::vector<FieldSpec>& fields, Meaning meaning);
 
-/// What the value of a field is checked by, at either side.
+/// Whether a value is valid for the field. Used for both incoming and outgoing messages.
 bool holds(const FieldSpec& spec, std::string_view text);
 bool holds(const FieldSpec& spec, std::int64_t number);
 
-/// Faults of a dialect itself: names that come twice, empty ranges, errors that overlap, reasons without a
-/// word. Each names the field. Empty: it is sound.
+/// Returns the faults in the description of a dialect: duplicate names, empty ranges, overlapping errors,
+/// root reasons without a code. Each text names the field. Returns an empty list if the description is valid.
 std::vector<std::string> faults_of(const Dialect& dialect);
 
-/// The project's own dialects, in the order of docs/translation.md.
+/// The built-in dialects, in the order of docs/translation.md.
 /// Clients: "json-lines", "diameter", "iso8583". Servers: "sip", "diameter-server", "session-1", "session-2".
 const std::vector<Dialect>& dialects();
+/// Returns null if there is no built-in dialect of that name.
 const Dialect* find_dialect(std::string_view name);
 
-/// The one meaning of an error answer: that of the named error, else of the number, else of its class
-/// (the hundred or thousand that it is in), else a fault of the server that may have run.
+/// Returns the meaning of an error answer: that of the named error, otherwise of the single code, otherwise
+/// of the range of codes. An unknown error is a server fault after which the call may have been executed.
 ErrorMeaning meaning_of(const Dialect& dialect, std::uint32_t code, std::string_view name = {});
 
-/// What this client is told for that reason: its own word or that of the reason above it.
-const WordSpec& word_for(const Dialect& dialect, Reason reason);
+/// Returns the code by which this client's dialect reports a reason: its own, or that of the nearest parent
+/// reason that has one.
+const ReasonCode& word_for(const Dialect& dialect, Reason reason);
 
 }  // namespace amberknot::translate
--- a/src/translate/eligibility.cpp
+++ b/src/translate/eligibility.cpp
@@ -5,33 +5,33 @@
 namespace amberknot::translate {
 
 Translator::Translator(const std::vector<std::string>& clients, const std::vector<std::string>& servers,
-                       Table operators)
-    : operators_(std::move(operators)) {
-  const auto take = [this](const std::vector<std::string>& names, std::vector<Dialect>& to,
-                           const char* side) {
+                       Table operator_table)
+    : operator_table_(std::move(operator_table)) {
+  const auto add_dialects = [this](const std::vector<std::string>& names, std::vector<Dialect>& target,
+                                   const char* side) {
     for (const auto& name : names) {
       if (const auto* dialect = find_dialect(name)) {
-        to.push_back(with_errors(*dialect, operators_));
+        target.push_back(with_errors(*dialect, operator_table_));
       } else {
-        faults_.push_back(std::string(side) + ": \"" + name + "\" is no dialect");
+        faults_.push_back(std::string(side) + ": \"" + name + "\" is not a known dialect");
       }
     }
-    if (to.size() > kMaxDialects)
-      faults_.push_back(std::string(side) + ": more dialects than can be told apart");
+    if (target.size() > kMaxDialects)
+      faults_.push_back(std::string(side) + ": more dialects than the router supports");
   };
-  take(clients, clients_, "clients");
-  take(servers, servers_, "servers");
+  add_dialects(clients, clients_, "clients");
+  add_dialects(servers, servers_, "servers");
   if (servers_.size() > kMaxDialects) servers_.resize(kMaxDialects);
   for (std::size_t i = 0; i < servers_.size(); ++i) {
-    if (servers_[i].name.rfind("session-", 0) == 0) translated_ |= set_of(static_cast<DialectNo>(i));
+    if (servers_[i].name.rfind("session-", 0) == 0) translated_dialects_ |= set_of(static_cast<DialectNo>(i));
   }
   for (const auto& client : clients_) {
     for (const auto& server : servers_) {
-      auto mapping = compile(client, server, operators_, faults_);
+      auto mapping = compile(client, server, operator_table_, faults_);
       mappings_.push_back(mapping ? std::make_unique<Mapping>(std::move(*mapping)) : nullptr);
     }
   }
-  // A dialect of several pairs would tell its own faults for each of them.
+  // The faults of a dialect itself are reported for each of its pairs; each is kept once.
   std::vector<std::string> once;
   for (auto& fault : faults_) {
     if (std::find(once.begin(), once.end(), fault) == once.end()) once.push_back(std::move(fault));
@@ -57,20 +57,21 @@
   return mappings_[client * servers_.size() + static_cast<std::size_t>(server)].get();
 }
 
-Translator::Ruling Translator::rule(std::size_t client, const Record& set_up, Record& scratch) const {
-  Ruling ruling;
+Translator::Eligibility Translator::rule(std::size_t client, const Record& set_up, Record& scratch) const {
+  Eligibility eligibility;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
-    const auto no = static_cast<DialectNo>(i);
-    const auto* pair = mapping(client, no);
-    ruling.why[i] = pair != nullptr ? pair->set_up.run(set_up, scratch) : Said{Bar::kMissing, 0};
-    if (!ruling.why[i]) ruling.out |= set_of(no);
+    const auto dialect_index = static_cast<DialectNo>(i);
+    const auto* pair_mapping = mapping(client, dialect_index);
+    eligibility.results[i] = pair_mapping != nullptr ? pair_mapping->set_up.run(set_up, scratch)
+                                                     : MappingResult{MappingFailure::kSourceMissing, 0};
+    if (!eligibility.results[i]) eligibility.ineligible |= set_of(dialect_index);
   }
-  return ruling;
+  return eligibility;
 }
 
 DialectSet Translator::rule(const Message& message, Record& scratch) const {
-  if (fault_in(clients_[message.client()].of(Kind::kSetUp), message.record())) return translated_;
-  return rule(message.client(), message.record(), scratch).out & translated_;
+  if (fault_in(clients_[message.client()].of(Kind::kSetUp), message.record())) return translated_dialects_;
+  return rule(message.client(), message.record(), scratch).ineligible & translated_dialects_;
 }
 
 }  // namespace amberknot::translate
--- a/src/translate/eligibility.hpp
+++ b/src/translate/eligibility.hpp
@@ -1,5 +1,5 @@
-// Which call may go to which version of server, and what becomes of a call whose attempt ended with an error.
-// The module chooses the server; it is told which versions are ruled out for the call, and nothing else.
+// Decides which versions of servers can take a call. The decision module chooses the server; it only learns
+// which versions are excluded for the call.
 #pragma once
 
 #include <array>
@@ -16,51 +16,60 @@
 
 namespace amberknot::translate {
 
-/// Every mapping between the clients' and the servers' dialects of this router, compiled at its start.
+/// The mappings between all client and server dialects of this router, compiled when it starts.
 class Translator {
  public:
-  /// The names of the dialects that are in use here. Throws nothing: faults() tells what is wrong, and a pair
-  /// with a fault has no mapping. A router does not start with any.
+  /// `clients` and `servers` name the dialects in use. Reports invalid names and tables through faults()
+  /// instead of throwing; a pair of dialects with a fault has no mapping. A router does not start if there
+  /// are faults.
   Translator(const std::vector<std::string>& clients, const std::vector<std::string>& servers,
-             Table operators);
+             Table operator_table);
   Translator(const Translator&) = delete;
   Translator& operator=(const Translator&) = delete;
 
+  /// Everything that is wrong with the dialects and the table, one text per fault; empty if nothing is.
   [[nodiscard]] const std::vector<std::string>& faults() const { return faults_; }
 
+  /// Number of client dialects.
   [[nodiscard]] std::size_t clients() const { return clients_.size(); }
+  /// Number of server dialects.
   [[nodiscard]] std::size_t servers() const { return servers_.size(); }
-  [[nodiscard]] const Dialect& client(std::size_t no) const { return clients_[no]; }
-  [[nodiscard]] const Dialect& server(DialectNo no) const { return servers_[static_cast<std::size_t>(no)]; }
+  [[nodiscard]] const Dialect& client(std::size_t index) const { return clients_[index]; }
+  [[nodiscard]] const Dialect& server(DialectNo index) const {
+    return servers_[static_cast<std::size_t>(index)];
+  }
+  /// Index of the client dialect of that name; nullopt if it is not in use.
   [[nodiscard]] std::optional<std::size_t> client_no(std::string_view name) const;
+  /// Index of the server dialect of that name; nullopt if it is not in use.
   [[nodiscard]] std::optional<DialectNo> server_no(std::string_view name) const;
-  /// Null: that pair was refused.
+  /// Returns null if the pair of dialects has faults.
   [[nodiscard]] const Mapping* mapping(std::size_t client, DialectNo server) const;
 
-  /// The servers' dialects in which this set-up cannot be said. `why` has the reason for each of them.
-  struct Ruling {
-    DialectSet out = 0;
-    std::array<Said, kMaxDialects> why{};
+  /// The server dialects into which a set-up cannot be translated, with the result for each server dialect.
+  struct Eligibility {
+    DialectSet ineligible = 0;
+    std::array<MappingResult, kMaxDialects> results{};
   };
-  Ruling rule(std::size_t client, const Record& set_up, Record& scratch) const;
+  /// Tries the set-up in every server dialect. `scratch` is overwritten.
+  Eligibility rule(std::size_t client, const Record& set_up, Record& scratch) const;
 
-  /// The same for what a front has read. Only dialects that are reached by translation are ruled out: the
-  /// older links take the fields as they are. A set-up that is not as its own dialect says is said in none of
-  /// them.
+  /// Returns the server dialects that cannot take a set-up as read by a frontend. Only translated dialects
+  /// are excluded: the SIP and Diameter connections take the fields without translation. A set-up that is
+  /// invalid in its own dialect excludes all translated ones.
   DialectSet rule(const Message& message, Record& scratch) const;
-  /// The dialects that are reached by translation.
-  [[nodiscard]] DialectSet translated() const { return translated_; }
+  /// The server dialects whose messages are produced by translation.
+  [[nodiscard]] DialectSet translated_dialects() const { return translated_dialects_; }
 
-  /// All dialects of this router's servers.
-  [[nodiscard]] DialectSet all() const { return (DialectSet{1} << servers_.size()) - 1; }
+  /// All server dialects of this router.
+  [[nodiscard]] DialectSet all_dialects() const { return (DialectSet{1} << servers_.size()) - 1; }
 
  private:
   std::vector<Dialect> clients_;
   std::vector<Dialect> servers_;
-  Table operators_;
-  std::vector<std::unique_ptr<Mapping>> mappings_;  ///< client by client
+  Table operator_table_;
+  std::vector<std::unique_ptr<Mapping>> mappings_;  ///< for each client dialect, one for each server dialect
   std::vector<std::string> faults_;
-  DialectSet translated_ = 0;
+  DialectSet translated_dialects_ = 0;
 };
 
 }  // namespace amberknot::translate
--- a/src/translate/mapping.cpp
+++ b/src/translate/mapping.cpp
@@ -12,22 +12,22 @@
       if (fields[i].required) return i;
       continue;
     }
-    const bool good =
+    const bool is_valid =
         is_textual(fields[i].type) ? holds(fields[i], record.text(i)) : holds(fields[i], record.number(i));
-    if (!good) return i;
+    if (!is_valid) return i;
   }
   return std::nullopt;
 }
 
-std::string_view text_of(Bar bar) {
-  switch (bar) {
-    case Bar::kNone:
+std::string_view describe(MappingFailure failure) {
+  switch (failure) {
+    case MappingFailure::kNone:
       return "said";
-    case Bar::kMissing:
-      return "nothing to say it with";
-    case Bar::kNotTaken:
-      return "its value is not taken there";
-    case Bar::kNotListed:
+    case MappingFailure::kSourceMissing:
+      return "its source is missing";
+    case MappingFailure::kValueInvalid:
+      return "its value is not valid there";
+    case MappingFailure::kNotInTable:
       return "its value is not in the table";
   }
   return "";
@@ -35,13 +35,13 @@
 
 // ---- running --------------------------------------------------------------------------------------------
 
-const Program::Value* Program::List::find(std::string_view key) const {
+const Program::Value* Program::LookupTable::find(std::string_view key) const {
   const auto found = std::lower_bound(rows.begin(), rows.end(), key,
                                       [](const auto& row, std::string_view k) { return row.first < k; });
   return found != rows.end() && found->first == key ? &found->second : nullptr;
 }
 
-bool Program::put(const Step& step, const Record& from, Record& to) const {
+bool Program::apply(const Step& step, const Record& from, Record& to) const {
   switch (step.op) {
     case Op::kText: {
       const auto text = from.text(step.from);
@@ -53,10 +53,10 @@
     case Op::kScale: {
       std::int64_t number = from.number(step.from);
       if (step.op == Op::kScale) {
-        // Rounded down: a patience told longer than it is would outlast the caller's.
+        // Rounded down, so that the server does not wait longer than the caller.
         std::int64_t product = 0;
-        if (__builtin_mul_overflow(number, step.times, &product)) return false;
-        number = product / step.over;
+        if (__builtin_mul_overflow(number, step.multiplier, &product)) return false;
+        number = product / step.divisor;
       }
       if (!fits(step, number)) return false;
       to.set(step.to, number);
@@ -65,30 +65,30 @@
     case Op::kParse: {
       const auto text = from.text(step.from);
       std::int64_t number = 0;
-      const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), number);
-      if (bad != std::errc{} || end != text.data() + text.size() || !fits(step, number)) return false;
+      const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+      if (error != std::errc{} || end != text.data() + text.size() || !fits(step, number)) return false;
       to.set(step.to, number);
       return true;
     }
     case Op::kPrint: {
-      char* at = to.room(kMaxDerived);
+      char* at = to.allocate_text(kMaxDerived);
       if (at == nullptr) return false;
-      const auto [end, bad] = std::to_chars(at, at + kMaxDerived, from.number(step.from));
+      const auto [end, error] = std::to_chars(at, at + kMaxDerived, from.number(step.from));
       const std::string_view text(at, static_cast<std::size_t>(end - at));
-      if (bad != std::errc{} || !fits(step, text)) return false;
+      if (error != std::errc{} || !fits(step, text)) return false;
       to.set(step.to, text);
       return true;
     }
     case Op::kConstText:
-      to.set(step.to, constants_[step.aux].text);
+      to.set(step.to, constants_[step.operand].text);
       return true;
     case Op::kConstNumber:
-      to.set(step.to, constants_[step.aux].number);
+      to.set(step.to, constants_[step.operand].number);
       return true;
     case Op::kLookup: {
-      const auto* found = lists_[step.aux].find(from.text(step.from));
+      const auto* found = lookup_tables_[step.operand].find(from.text(step.from));
       if (found == nullptr) return false;
-      // Held against the target when it was compiled.
+      // The values of the table were checked against the target field at compilation.
       if (is_textual(to_[step.to].type)) {
         to.set(step.to, std::string_view(found->text));
       } else {
@@ -97,9 +97,9 @@
       return true;
     }
     case Op::kRule: {
-      char* at = to.room(kMaxDerived);
+      char* at = to.allocate_text(kMaxDerived);
       std::size_t size = 0;
-      if (at == nullptr || !rules_[step.aux](from.text(step.from), to_[step.to], at, size)) return false;
+      if (at == nullptr || !rules_[step.operand](from.text(step.from), to_[step.to], at, size)) return false;
       const std::string_view text(at, size);
       if (!holds(to_[step.to], text)) return false;
       to.set(step.to, text);
@@ -109,23 +109,28 @@
   return false;
 }
 
-Said Program::run(const Record& from, Record& to) const {
+MappingResult Program::run(const Record& from, Record& to) const {
   to.clear();
   for (const auto& step : steps_) {
-    const bool there = step.always || from.has(step.from);
-    if (there && put(step, from, to)) continue;
-    // An optional field that nobody gave is no loss.
-    if (!there && step.optional && step.otherwise != Else::kText && step.otherwise != Else::kNumber) continue;
+    const bool source_present = step.source_always_present || from.has(step.from);
+    if (source_present && apply(step, from, to)) continue;
+    // An optional field without a source value is left out.
+    if (!source_present && step.target_optional && step.otherwise != Fallback::kText &&
+        step.otherwise != Fallback::kNumber)
+      continue;
     switch (step.otherwise) {
-      case Else::kBar:
-        return {!there ? Bar::kMissing : step.op == Op::kLookup ? Bar::kNotListed : Bar::kNotTaken, step.to};
-      case Else::kLeaveOut:
+      case Fallback::kNotEligible:
+        return {!source_present          ? MappingFailure::kSourceMissing
+                : step.op == Op::kLookup ? MappingFailure::kNotInTable
+                                         : MappingFailure::kValueInvalid,
+                step.to};
+      case Fallback::kLeaveOut:
         break;
-      case Else::kText:
-        to.set(step.to, constants_[step.fallback].text);
+      case Fallback::kText:
+        to.set(step.to, constants_[step.fallback_constant].text);
         break;
-      case Else::kNumber:
-        to.set(step.to, constants_[step.fallback].number);
+      case Fallback::kNumber:
+        to.set(step.to, constants_[step.fallback_constant].number);
         break;
     }
   }
@@ -134,39 +139,41 @@
 
 // ---- compiling ------------------------------------------------------------------------------------------
 
+/// Compiles the program for one kind of message between two dialects.
 class Compiler {
  public:
-  Compiler(const Dialect& from, const Dialect& to, Kind kind, const Table& operators,
+  Compiler(const Dialect& from, const Dialect& to, Kind kind, const Table& operator_table,
            std::vector<std::string>& faults)
       : from_(from),
         to_(to),
         kind_(kind),
-        operators_(operators),
+        operator_table_(operator_table),
         faults_(faults),
-        carried_(from.of(kind).size()) {}
+        is_carried_(from.of(kind).size()) {}
 
   std::optional<Program> compile() {
-    const auto before = faults_.size();
+    const auto previous_faults = faults_.size();
     program_.to_ = to_.of(kind_);
-    for (std::size_t i = 0; i < program_.to_.size(); ++i) field(i);
-    losses();
-    if (faults_.size() > before) return std::nullopt;
+    for (std::size_t i = 0; i < program_.to_.size(); ++i) compile_field(i);
+    check_losses();
+    if (faults_.size() > previous_faults) return std::nullopt;
     return std::move(program_);
   }
 
  private:
   using Step = Program::Step;
   using Op = Program::Op;
-  using Else = Program::Else;
+  using Fallback = Program::Fallback;
 
-  void fault(const std::string& field, const std::string& what) {
+  void add_fault(const std::string& field, const std::string& problem) {
     faults_.push_back(from_.name + " → " + to_.name + ", " + std::string(name_of(kind_)) + ": " + field +
-                      ": " + what);
+                      ": " + problem);
   }
 
   [[nodiscard]] const std::vector<FieldSpec>& sources() const { return from_.of(kind_); }
 
-  /// By name or `@meaning`; none: the number of fields.
+  /// Returns the index of the field with that name or, for `@meaning`, with that meaning. Returns the number
+  /// of fields if there is none.
   static std::size_t resolve(const std::vector<FieldSpec>& fields, const FieldName& name) {
     if (name.empty() || name.front() != '@') return index_of(fields, name);
     const auto found = std::find_if(fields.begin(), fields.end(), [&](const auto& field) {
@@ -175,148 +182,150 @@
     return static_cast<std::size_t>(found - fields.begin());
   }
 
-  /// How well a row names this pair: the more, the better; none: it does not.
-  [[nodiscard]] std::optional<int> rank(const Row& row) const {
+  /// Returns how many of this pair's dialects the row names, or nullopt if the row does not apply to it.
+  [[nodiscard]] std::optional<int> specificity(const Row& row) const {
     if (row.kind != kind_) return std::nullopt;
     if (row.from != "*" && row.from != from_.name) return std::nullopt;
     if (row.to != "*" && row.to != to_.name) return std::nullopt;
     return (row.from != "*" ? 1 : 0) + (row.to != "*" ? 1 : 0);
   }
 
-  /// The row of that target field, operators' before our own, the closer before the wider.
-  const Row* row_of(std::size_t target, bool& twice) {
+  /// Returns the row for a target field, or null if there is none. Rows of the operator take precedence over
+  /// built-in ones, then rows that name more dialects. Sets `is_ambiguous` if two rows have the same
+  /// precedence.
+  const Row* select_row(std::size_t target, bool& is_ambiguous) {
     const Row* best = nullptr;
     int best_rank = -1;
-    twice = false;
-    const auto look = [&](const Table& table, int base) {
+    is_ambiguous = false;
+    const auto search = [&](const Table& table, int base_rank) {
       for (const auto& row : table.rows) {
-        const auto ranked = rank(row);
-        if (!ranked || row.field.empty() || resolve(program_.to_, row.field) != target) continue;
-        if (base + *ranked == best_rank) twice = true;
-        if (base + *ranked <= best_rank) continue;
+        const auto row_rank = specificity(row);
+        if (!row_rank || row.field.empty() || resolve(program_.to_, row.field) != target) continue;
+        if (base_rank + *row_rank == best_rank) is_ambiguous = true;
+        if (base_rank + *row_rank <= best_rank) continue;
         best = &row;
-        best_rank = base + *ranked;
-        twice = false;
+        best_rank = base_rank + *row_rank;
+        is_ambiguous = false;
       }
     };
-    look(own_table(), 0);
-    look(operators_, 10);
+    search(own_table(), 0);
+    search(operator_table_, 10);
     return best;
   }
 
-  void field(std::size_t target) {
+  void compile_field(std::size_t target) {
     const auto& spec = program_.to_[target];
-    bool twice = false;
-    const Row* row = row_of(target, twice);
-    if (twice) return fault(spec.name, "two rows say where it comes from");
+    bool is_ambiguous = false;
+    const Row* row = select_row(target, is_ambiguous);
+    if (is_ambiguous) return add_fault(spec.name, "two rows define its source");
     Step step;
     step.to = static_cast<std::uint8_t>(target);
-    step.optional = !spec.required;
-    std::string says;
+    step.target_optional = !spec.required;
+    std::string description;
     if (row == nullptr) {
       const auto source = index_of(sources(), spec.meaning);
       if (source == sources().size()) {
-        if (spec.required) fault(spec.name, "is required and nothing says where it comes from");
+        if (spec.required) add_fault(spec.name, "is required and no row or field gives its source");
         return;
       }
-      if (!copy(step, spec, source, says)) return;
+      if (!compile_copy(step, spec, source, description)) return;
     } else if (const auto* from = std::get_if<Copy>(&*row->source)) {
       const auto source = resolve(sources(), from->of);
-      // A row for any dialect may name what this one does not have.
-      if (source == sources().size()) return without_source(step, spec, *row, from->of);
-      if (!copy(step, spec, source, says)) return;
+      // A row that applies to several dialects may name a field that this one lacks.
+      if (source == sources().size()) return compile_without_source(step, spec, *row, from->of);
+      if (!compile_copy(step, spec, source, description)) return;
     } else if (const auto* constant = std::get_if<Constant>(&*row->source)) {
-      if (!constant_of(step, spec, constant->value)) return;
-      says = "the constant \"" + constant->value + "\"";
+      if (!compile_constant(step, spec, constant->value)) return;
+      description = "the constant \"" + constant->value + "\"";
     } else if (const auto* derived = std::get_if<Derived>(&*row->source)) {
       const auto source = resolve(sources(), derived->of);
-      if (source == sources().size()) return without_source(step, spec, *row, derived->of);
-      if (!rule(step, spec, source, *derived, says)) return;
+      if (source == sources().size()) return compile_without_source(step, spec, *row, derived->of);
+      if (!compile_rule(step, spec, source, *derived, description)) return;
     } else {
       const auto& lookup = std::get<Lookup>(*row->source);
       const auto source = resolve(sources(), lookup.by);
-      if (source == sources().size()) return without_source(step, spec, *row, lookup.by);
-      if (!list(step, spec, source, lookup, says)) return;
+      if (source == sources().size()) return compile_without_source(step, spec, *row, lookup.by);
+      if (!compile_lookup(step, spec, source, lookup, description)) return;
     }
-    finish(step, spec, row, std::move(says));
+    add_step(step, spec, row, std::move(description));
   }
 
-  /// The row's source is none of this dialect's fields: it is never there.
-  void without_source(Step& step, const FieldSpec& spec, const Row& row, const FieldName& name) {
+  /// Compiles a row whose source field does not exist in this dialect, so that its fallback always applies.
+  void compile_without_source(Step& step, const FieldSpec& spec, const Row& row, const FieldName& name) {
     if (row.otherwise && std::holds_alternative<Constant>(*row.otherwise)) {
-      if (!constant_of(step, spec, std::get<Constant>(*row.otherwise).value)) return;
-      step.checked = false;
-      step.always = true;
+      if (!compile_constant(step, spec, std::get<Constant>(*row.otherwise).value)) return;
+      step.needs_check = false;
+      step.source_always_present = true;
       program_.steps_.push_back(step);
-      line(spec.name,
-           "the constant \"" + std::get<Constant>(*row.otherwise).value + "\", for want of " + name);
+      add_note(spec.name, "the constant \"" + std::get<Constant>(*row.otherwise).value +
+                              "\", since there is no " + name);
     } else if (row.otherwise && std::holds_alternative<NotEligible>(*row.otherwise) && spec.required) {
-      fault(spec.name,
-            "has no source, since " + from_.name + " has no " + name + ": no message could be said");
+      add_fault(spec.name,
+                "has no source, since " + from_.name + " has no " + name + ": no message would be eligible");
     } else if (spec.required) {
-      fault(spec.name, "is required, and " + from_.name + " has no " + name);
+      add_fault(spec.name, "is required, and " + from_.name + " has no " + name);
     }
   }
 
-  bool copy(Step& step, const FieldSpec& to, std::size_t source, std::string& says) {
+  bool compile_copy(Step& step, const FieldSpec& to, std::size_t source, std::string& description) {
     const auto& from = sources()[source];
     step.from = static_cast<std::uint8_t>(source);
-    carried_[source] = true;
-    step.always = from.required;
-    says = "copied from " + from.name;
+    is_carried_[source] = true;
+    step.source_always_present = from.required;
+    description = "copied from " + from.name;
     const bool duration = from.type == Type::kDuration && to.type == Type::kDuration;
     if (is_textual(from.type) && is_textual(to.type)) {
       step.op = Op::kText;
-      step.checked = !text_within(from, to);
+      step.needs_check = !is_text_subset(from, to);
     } else if (duration && from.unit != to.unit) {
       const auto common = std::gcd(from.unit, to.unit);
       step.op = Op::kScale;
-      step.times = from.unit / common;
-      step.over = to.unit / common;
-      says += ", " + std::to_string(from.unit) + " µs to " + std::to_string(to.unit) + " µs";
+      step.multiplier = from.unit / common;
+      step.divisor = to.unit / common;
+      description += ", " + std::to_string(from.unit) + " µs to " + std::to_string(to.unit) + " µs";
     } else if (from.type == to.type) {
       step.op = Op::kNumber;
-      step.checked = from.least < to.least || from.most > to.most;
+      step.needs_check = from.least < to.least || from.most > to.most;
     } else if (from.type == Type::kDigits && to.type == Type::kNumber) {
       step.op = Op::kParse;
-      // Up to 18 digits fit; their range is that of their length.
+      // Up to 18 digits fit in 64 bits; their number limits the value.
       std::int64_t most = 1;
       for (std::int64_t i = 0; i < std::min<std::int64_t>(from.most, 18); ++i) most *= 10;
-      step.checked = from.most > 18 || to.least > 0 || most - 1 > to.most;
+      step.needs_check = from.most > 18 || to.least > 0 || most - 1 > to.most;
     } else if (from.type == Type::kNumber && is_textual(to.type)) {
       step.op = Op::kPrint;
     } else {
-      fault(to.name, "is a " + std::string(name_of(to.type)) + ", and " + from.name + " a " +
-                         std::string(name_of(from.type)) + ": name a rule or a table");
+      add_fault(to.name, "is a " + std::string(name_of(to.type)) + " field, and " + from.name + " is a " +
+                             std::string(name_of(from.type)) + " field: use a rule or a table");
       return false;
     }
     return true;
   }
 
-  /// Whether all that `from` may hold, `to` may hold.
-  static bool text_within(const FieldSpec& from, const FieldSpec& to) {
+  /// Whether every valid value of `from` is valid for `to`.
+  static bool is_text_subset(const FieldSpec& from, const FieldSpec& to) {
     if (from.type == Type::kWord) {
       return std::all_of(from.words.begin(), from.words.end(),
                          [&to](const auto& word) { return holds(to, word); });
     }
     if (to.type == Type::kWord || from.least < to.least || from.most > to.most) return false;
-    const auto width = [](Type type) {
+    const auto alphabet_rank = [](Type type) {
       return type == Type::kText ? 3 : type == Type::kToken ? 2 : type == Type::kHex ? 1 : 0;
     };
-    return width(from.type) <= width(to.type);
+    return alphabet_rank(from.type) <= alphabet_rank(to.type);
   }
 
-  bool constant_of(Step& step, const FieldSpec& spec, const std::string& value) {
-    const auto made = value_of(spec, value);
-    if (!made) {
-      fault(spec.name, "cannot hold the constant \"" + value + "\"");
+  bool compile_constant(Step& step, const FieldSpec& spec, const std::string& value) {
+    const auto parsed = value_of(spec, value);
+    if (!parsed) {
+      add_fault(spec.name, "cannot hold the constant \"" + value + "\"");
       return false;
     }
     step.op = is_textual(spec.type) ? Op::kConstText : Op::kConstNumber;
-    step.aux = static_cast<std::uint16_t>(program_.constants_.size());
-    step.always = true;
-    step.checked = false;
-    program_.constants_.push_back(*made);
+    step.operand = static_cast<std::uint16_t>(program_.constants_.size());
+    step.source_always_present = true;
+    step.needs_check = false;
+    program_.constants_.push_back(*parsed);
     return true;
   }
 
@@ -325,103 +334,111 @@
       return holds(spec, text) ? std::optional(Program::Value{text, 0}) : std::nullopt;
     }
     std::int64_t number = 0;
-    const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (bad != std::errc{} || end != text.data() + text.size() || !holds(spec, number)) return std::nullopt;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+    if (error != std::errc{} || end != text.data() + text.size() || !holds(spec, number)) return std::nullopt;
     return Program::Value{text, number};
   }
 
-  bool rule(Step& step, const FieldSpec& to, std::size_t source, const Derived& derived, std::string& says) {
+  bool compile_rule(Step& step, const FieldSpec& to, std::size_t source, const Derived& derived,
+                    std::string& description) {
     const auto& from = sources()[source];
     const auto* found = find_rule(derived.rule);
-    if (found == nullptr) return fault(to.name, "\"" + derived.rule + "\" is no rule"), false;
+    if (found == nullptr) return add_fault(to.name, "\"" + derived.rule + "\" is not a known rule"), false;
     if (!is_textual(from.type) || !is_textual(to.type)) {
-      return fault(to.name, "rules make texts out of texts, and one of the two is none"), false;
+      return add_fault(to.name, "a rule needs a text field as source and as target"), false;
     }
     step.op = Op::kRule;
     step.from = static_cast<std::uint8_t>(source);
-    step.always = from.required;
-    step.aux = static_cast<std::uint16_t>(program_.rules_.size());
+    step.source_always_present = from.required;
+    step.operand = static_cast<std::uint16_t>(program_.rules_.size());
     program_.rules_.push_back(found->make);
-    carried_[source] = true;
-    says = "by the rule " + derived.rule + " of " + from.name + ": " + std::string(found->what);
+    is_carried_[source] = true;
+    description =
+        "by the rule " + derived.rule + " from " + from.name + ": " + std::string(found->description);
     return true;
   }
 
-  bool list(Step& step, const FieldSpec& to, std::size_t source, const Lookup& lookup, std::string& says) {
+  bool compile_lookup(Step& step, const FieldSpec& to, std::size_t source, const Lookup& lookup,
+                      std::string& description) {
     const auto& from = sources()[source];
-    if (!is_textual(from.type)) return fault(to.name, from.name + " is no text to look up"), false;
-    Program::List made;
+    if (!is_textual(from.type))
+      return add_fault(to.name, from.name + " is not a text field, so it cannot be looked up"), false;
+    Program::LookupTable compiled;
     for (const auto& [key, value] : lookup.table) {
-      const auto read = value_of(to, value);
-      if (!read) return fault(to.name, "cannot hold \"" + value + "\", the value for " + key), false;
-      if (!holds(from, key)) return fault(to.name, from.name + " is never \"" + key + "\""), false;
-      made.rows.emplace_back(key, *read);
+      const auto parsed = value_of(to, value);
+      if (!parsed) return add_fault(to.name, "cannot hold \"" + value + "\", the value for " + key), false;
+      if (!holds(from, key))
+        return add_fault(to.name, from.name + " cannot have the value \"" + key + "\""), false;
+      compiled.rows.emplace_back(key, *parsed);
     }
     step.op = Op::kLookup;
     step.from = static_cast<std::uint8_t>(source);
-    step.always = from.required;
-    // A table that has every word of its source cannot miss.
-    step.checked = from.type != Type::kWord || made.rows.size() != from.words.size();
-    step.aux = static_cast<std::uint16_t>(program_.lists_.size());
-    program_.lists_.push_back(std::move(made));
-    looked_at_.push_back(source);
-    says = "by " + from.name + ", " + std::to_string(lookup.table.size()) + " values";
+    step.source_always_present = from.required;
+    // A table with a row for every word of its source always has a match.
+    step.needs_check = from.type != Type::kWord || compiled.rows.size() != from.words.size();
+    step.operand = static_cast<std::uint16_t>(program_.lookup_tables_.size());
+    program_.lookup_tables_.push_back(std::move(compiled));
+    lookup_sources_.push_back(source);
+    description = "looked up by " + from.name + ", " + std::to_string(lookup.table.size()) + " values";
     return true;
   }
 
-  void finish(Step step, const FieldSpec& spec, const Row* row, std::string says) {
-    const bool may_fail = step.checked || step.op == Op::kRule;
-    const bool may_lack = !step.always && spec.required;
+  /// Adds a step after checking that its fallback covers every case in which the source gives no valid value.
+  void add_step(Step step, const FieldSpec& spec, const Row* row, std::string description) {
+    const bool value_may_be_invalid = step.needs_check || step.op == Op::kRule;
+    const bool source_may_be_missing = !step.source_always_present && spec.required;
     if (row != nullptr && row->otherwise) {
       if (std::holds_alternative<LeaveOut>(*row->otherwise)) {
-        if (spec.required) return fault(spec.name, "is required and cannot be left out");
-        step.otherwise = Else::kLeaveOut;
-        says += "; otherwise left out";
+        if (spec.required) return add_fault(spec.name, "is required and cannot be left out");
+        step.otherwise = Fallback::kLeaveOut;
+        description += "; otherwise left out";
       } else if (const auto* constant = std::get_if<Constant>(&*row->otherwise)) {
-        const auto made = value_of(spec, constant->value);
-        if (!made) return fault(spec.name, "cannot hold the constant \"" + constant->value + "\"");
-        step.otherwise = is_textual(spec.type) ? Else::kText : Else::kNumber;
-        step.fallback = static_cast<std::uint16_t>(program_.constants_.size());
-        program_.constants_.push_back(*made);
-        says += "; otherwise \"" + constant->value + "\"";
-      } else if (may_fail || may_lack) {
-        says += "; otherwise not eligible";
+        const auto parsed = value_of(spec, constant->value);
+        if (!parsed) return add_fault(spec.name, "cannot hold the constant \"" + constant->value + "\"");
+        step.otherwise = is_textual(spec.type) ? Fallback::kText : Fallback::kNumber;
+        step.fallback_constant = static_cast<std::uint16_t>(program_.constants_.size());
+        program_.constants_.push_back(*parsed);
+        description += "; otherwise \"" + constant->value + "\"";
+      } else if (value_may_be_invalid || source_may_be_missing) {
+        description += "; otherwise not eligible";
       }
-    } else if (may_lack) {
-      return fault(spec.name, "is required, and its source may be missing: say otherwise");
-    } else if (may_fail) {
-      return fault(spec.name, "may be given what it cannot hold (" + says + "): say otherwise");
+    } else if (source_may_be_missing) {
+      return add_fault(spec.name, "is required, and its source may be missing: add otherwise");
+    } else if (value_may_be_invalid) {
+      return add_fault(spec.name, "may get a value that it cannot hold (" + description + "): add otherwise");
     }
     program_.steps_.push_back(step);
-    line(spec.name, std::move(says));
+    add_note(spec.name, std::move(description));
   }
 
-  void line(const std::string& field, std::string says) {
-    program_.lines_.push_back({field, std::move(says), false});
+  void add_note(const std::string& field, std::string text) {
+    program_.notes_.push_back({field, std::move(text), false});
   }
 
-  /// What the other side has no place for must be declared, so that nothing is lost without anybody's
-  /// knowing.
-  void losses() {
+  /// Reports source fields that are neither carried to the target nor declared lost, so that no field is lost
+  /// unnoticed.
+  void check_losses() {
     for (std::size_t i = 0; i < sources().size(); ++i) {
-      if (carried_[i]) continue;
+      if (is_carried_[i]) continue;
       const Row* declared = nullptr;
-      for (const auto* table : {&operators_, &own_table()}) {
+      for (const auto* table : {&operator_table_, &own_table()}) {
         for (const auto& row : table->rows) {
-          if (declared != nullptr || !rank(row) || row.lost.empty() || resolve(sources(), row.lost) != i)
+          if (declared != nullptr || !specificity(row) || row.lost_field.empty() ||
+              resolve(sources(), row.lost_field) != i)
             continue;
           declared = &row;
         }
       }
-      const bool constant_word = sources()[i].type == Type::kWord && sources()[i].words.size() == 1;
+      const bool has_one_value = sources()[i].type == Type::kWord && sources()[i].words.size() == 1;
       if (declared != nullptr) {
-        program_.lines_.push_back(
-            {sources()[i].name, "lost: " + (declared->why.empty() ? "declared" : declared->why), true});
-      } else if (std::find(looked_at_.begin(), looked_at_.end(), i) != looked_at_.end()) {
-        // It has chosen another field's value, and is carried by that.
-        program_.lines_.push_back({sources()[i].name, "carried by what it was looked up for", false});
-      } else if (!constant_word) {
-        fault(sources()[i].name, "is carried nowhere and not declared lost");
+        program_.notes_.push_back(
+            {sources()[i].name,
+             "lost: " + (declared->loss_reason.empty() ? "declared" : declared->loss_reason), true});
+      } else if (std::find(lookup_sources_.begin(), lookup_sources_.end(), i) != lookup_sources_.end()) {
+        // The field has selected the value of another field, which carries its information.
+        program_.notes_.push_back({sources()[i].name, "carried by the field that is looked up by it", false});
+      } else if (!has_one_value) {
+        add_fault(sources()[i].name, "is not carried to any field and not declared lost");
       }
     }
   }
@@ -429,39 +446,40 @@
   const Dialect& from_;
   const Dialect& to_;
   Kind kind_;
-  const Table& operators_;
+  const Table& operator_table_;
   std::vector<std::string>& faults_;
-  std::vector<bool> carried_;
-  std::vector<std::size_t> looked_at_;
+  std::vector<bool> is_carried_;
+  std::vector<std::size_t> lookup_sources_;
   Program program_;
 };
 
-std::optional<Program> compile(const Dialect& from, const Dialect& to, Kind kind, const Table& operators,
+std::optional<Program> compile(const Dialect& from, const Dialect& to, Kind kind, const Table& operator_table,
                                std::vector<std::string>& faults) {
-  return Compiler(from, to, kind, operators, faults).compile();
+  return Compiler(from, to, kind, operator_table, faults).compile();
 }
 
-std::optional<Mapping> compile(const Dialect& client, const Dialect& server, const Table& operators,
+std::optional<Mapping> compile(const Dialect& client, const Dialect& server, const Table& operator_table,
                                std::vector<std::string>& faults) {
-  const auto before = faults.size();
+  const auto previous_faults = faults.size();
   for (const auto* dialect : {&client, &server}) {
     for (auto& fault : faults_of(*dialect)) faults.push_back(std::move(fault));
   }
-  if (client.words.empty()) faults.push_back(client.name + ": has no words for how a call ends");
-  if (server.errors.empty()) faults.push_back(server.name + ": has no errors, and every server has some");
-  auto set_up = compile(client, server, Kind::kSetUp, operators, faults);
-  auto give_up = compile(client, server, Kind::kGiveUp, operators, faults);
-  auto there = compile(client, server, Kind::kRelease, operators, faults);
-  auto answer = compile(server, client, Kind::kAnswer, operators, faults);
-  auto back = compile(server, client, Kind::kRelease, operators, faults);
-  if (faults.size() > before) return std::nullopt;
+  if (client.reason_codes.empty()) faults.push_back(client.name + ": has no codes for how a call ends");
+  if (server.errors.empty())
+    faults.push_back(server.name + ": has no errors, but a server dialect needs some");
+  auto set_up = compile(client, server, Kind::kSetUp, operator_table, faults);
+  auto give_up = compile(client, server, Kind::kGiveUp, operator_table, faults);
+  auto release_to_server = compile(client, server, Kind::kRelease, operator_table, faults);
+  auto answer = compile(server, client, Kind::kAnswer, operator_table, faults);
+  auto release_to_client = compile(server, client, Kind::kRelease, operator_table, faults);
+  if (faults.size() > previous_faults) return std::nullopt;
   return Mapping{&client,
                  &server,
                  std::move(*set_up),
                  std::move(*give_up),
-                 std::move(*there),
+                 std::move(*release_to_server),
                  std::move(*answer),
-                 std::move(*back)};
+                 std::move(*release_to_client)};
 }
 
 }  // namespace amberknot::translate
--- a/src/translate/table.hpp
+++ b/src/translate/table.hpp
@@ -1,5 +1,5 @@
-// The rows by which one dialect's messages become another's: the project's own, and those that an operator
-// adds.
+// The rows that define how messages are translated between dialects: the built-in ones and those in an
+// operator's file.
 #pragma once
 
 #include <map>
@@ -15,77 +15,89 @@
 
 namespace amberknot::translate {
 
-/// Names a field of a dialect: by its own name, or by its meaning as `@tenant`.
+/// Name of a field of a dialect, or its meaning with a leading `@`, such as `@tenant`.
 using FieldName = std::string;
 
+/// The value of another field, converted to the target's type and unit where needed.
 struct Copy {
   FieldName of;
 };
+/// A fixed value.
 struct Constant {
   std::string value;
 };
-/// A named rule, see rules() below, applied to a field.
+/// The result of a named rule, see rules() below, applied to a field.
 struct Derived {
   std::string rule;
   FieldName of;
 };
-/// A value for each value of another field, as a region for each tenant.
+/// A value chosen by the value of another field, such as a region for each tenant.
 struct Lookup {
   FieldName by;
   std::map<std::string, std::string, std::less<>> table;
 };
+/// Where the value of a target field comes from.
 using Source = std::variant<Copy, Constant, Derived, Lookup>;
 
-/// What happens where the source gives nothing, or nothing that the field may hold.
-struct NotEligible {};  ///< this message cannot be said there
-struct LeaveOut {};     ///< the field is left out, which is a declared loss; optional fields only
+/// The message is not eligible for the target dialect.
+struct NotEligible {};
+/// The field is left out, which counts as a declared loss. Only for optional fields.
+struct LeaveOut {};
+/// What happens if the source field is missing or its value is not valid for the target field.
 using Otherwise = std::variant<NotEligible, LeaveOut, Constant>;
 
-/// `from` and `to` name dialects, `*` is any. The row that names more of the two counts.
+/// Defines the source of a target field, or declares that a source field is lost. `from` and `to` name
+/// dialects, or are `*` for any. If several rows match, the one that names more dialects applies.
 struct Row {
   std::string from = "*";
   std::string to = "*";
   Kind kind = Kind::kSetUp;
-  FieldName field;               ///< of `to`; empty: the row declares a loss
-  std::optional<Source> source;  ///< of `field`
+  FieldName field;               ///< field of `to`; empty if the row declares a loss
+  std::optional<Source> source;  ///< source of `field`
   std::optional<Otherwise> otherwise = {};
-  FieldName lost = {};   ///< a field of `from` that `to` has no place for
-  std::string why = {};  ///< told to whoever asks what is lost
+  FieldName lost_field = {};     ///< field of `from` that has no counterpart in `to`
+  std::string loss_reason = {};  ///< reason for the loss, shown to operators
 };
 
-/// An error of a server's dialect that the operator knows and the project does not, or means otherwise.
+/// An operator's addition to the errors of a server dialect, or replacement of a built-in one.
 struct ErrorRow {
   std::string dialect;
   ErrorSpec error;
 };
 
+/// The rows and errors of one operator's file, or the built-in ones.
 struct Table {
   std::vector<Row> rows;
   std::vector<ErrorRow> errors;
 };
 
-/// What the project itself says about its own dialects.
+/// The built-in rows.
 const Table& own_table();
 
-/// Reads an operator's table, the object `translate` of the operator's file (docs/operate-translation.md).
-/// The faults name the field by its path; empty: `to` holds the table.
+/// Reads an operator's table, the object `translate` in the operator's file (docs/operate-translation.md).
+/// Returns the faults, each with the path of its field. If there are none, `to` holds the table, otherwise it
+/// is unchanged.
 std::vector<std::string> read_table(std::string json, Table& to);
 std::vector<std::string> read_table(const rapidjson::Value& value, Table& to);
 
-/// A rule makes a text out of a text, for a field that is as the target says. It writes at most kMostDerived
-/// bytes; false: it makes nothing of that.
+/// Most bytes that a rule may produce.
 inline constexpr std::size_t kMaxDerived = 64;
+/// Derives a text for the field `target` from the text `in`. Writes at most kMaxDerived bytes to `out` and
+/// their number to `size`. Returns false if no text can be derived.
 using RuleFunction = bool (*)(std::string_view in, const FieldSpec& target, char* out, std::size_t& size);
+/// A named rule for derived fields.
 struct Rule {
   std::string_view name;
-  std::string_view what;
+  std::string_view description;  ///< what the rule produces, for operators
   RuleFunction make;
 };
+/// All rules.
 const std::vector<Rule>& rules();
+/// Returns null if there is no rule of that name.
 const Rule* find_rule(std::string_view name);
 
-/// The dialect with the operator's errors in it: a row takes the place of the error of the same numbers and
-/// name.
+/// Returns the dialect with the errors of the operator's table. A row replaces the error with the same codes
+/// and name, and is added if there is none.
 Dialect with_errors(const Dialect& dialect, const Table& table);
 
 }  // namespace amberknot::translate
--- a/src/translate/versions.cpp
+++ b/src/translate/versions.cpp
@@ -233,7 +233,7 @@
   return found != servers_.end() ? found->second.state : VersionState::kUnknown;
 }
 
-DialectSet Versions::spoken() const {
+DialectSet Versions::dialects_in_use() const {
   DialectSet set = 0;
   for (const auto& [id, server] : servers_) {
     if (server.dialect) set |= set_of(*server.dialect);
--- a/src/translate/versions.hpp
+++ b/src/translate/versions.hpp
@@ -96,9 +96,9 @@
   /// kUnknown for a server that is not listed.
   [[nodiscard]] VersionState state(ServerId server) const;
   /// The dialects that at least one server speaks now.
-  [[nodiscard]] DialectSet spoken() const;
+  [[nodiscard]] DialectSet dialects_in_use() const;
   /// Number of listed servers.
-  [[nodiscard]] std::size_t servers() const { return servers_.size(); }
+  [[nodiscard]] std::size_t server_count() const { return servers_.size(); }
 
   /// Records the dialect in which a call is set up. All later messages of the call use it, even after the
   /// server has changed its dialect. A new attempt of the call replaces it.
--- a/tests/translate_state_test.cpp
+++ b/tests/translate_state_test.cpp
@@ -68,7 +68,7 @@
   CHECK(fixture.take_actions() == Versions::Actions{request_action(1)});
   fixture.told(1, "p1", {kSession1, kSession2, kSip});
   CHECK(fixture.take_actions() == Versions::Actions{changed_action(kSession2)});
-  CHECK(fixture.versions.spoken() == set_of(kSession2));
+  CHECK(fixture.versions.dialects_in_use() == set_of(kSession2));
   // SIP can only be configured: its rank is zero.
   fixture.told(1, "p1", {kSip});
   CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt)});
@@ -119,7 +119,7 @@
     fixture.versions.gone(kServer);
     fixture.told(1, "p1", {kSession1});
     CHECK_FALSE(fixture.speaks());
-    CHECK(fixture.versions.servers() == 0);
+    CHECK(fixture.versions.server_count() == 0);
   }
   CHECK(fixture.versions.pinned(CallId{5}) == kSession1);
   fixture.versions.unpin(CallId{5});
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -1,4 +1,5 @@
-// Translation: dialects, compiled mappings against the plain interpreter, errors and words.
+// Tests the dialects, the compiled mappings against a plain interpreter, and the translation of errors to
+// reason codes.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -16,10 +17,10 @@
 
 namespace {
 
-const std::vector<std::string> kClients = {"json-lines", "diameter", "iso8583"};
-const std::vector<std::string> kServers = {"sip", "diameter-server", "session-1", "session-2"};
+const std::vector<std::string> kClientDialects = {"json-lines", "diameter", "iso8583"};
+const std::vector<std::string> kServerDialects = {"sip", "diameter-server", "session-1", "session-2"};
 
-Table operators(const std::string& json) {
+Table read_operator_table(const std::string& json) {
   Table table;
   const auto faults = read_table(json, table);
   for (const auto& fault : faults) MESSAGE(fault);
@@ -27,7 +28,7 @@
   return table;
 }
 
-const char* kRegions =
+const char* kRegionTable =
     R"({"rows":[{"to":"session-2","field":"region","by":"@tenant","table":{"acme":"jakarta","toko":"surabaya"},)"
     R"("otherwise":"not-eligible"}]})";
 
@@ -39,8 +40,8 @@
   return false;
 }
 
-/// A value that the field may hold, most often near its bounds.
-std::string any_value(const FieldSpec& field) {
+/// Returns a random valid value of the field, often near its bounds.
+std::string random_value(const FieldSpec& field) {
   if (field.type == Type::kWord) return *rc::gen::elementOf(field.words);
   if (!is_textual(field.type)) {
     const auto unit = field.type == Type::kDuration ? field.unit : 1;
@@ -49,24 +50,24 @@
   static const std::string kDigits = "0123456789";
   static const std::string kHex = "0123456789abcdef";
   static const std::string kToken = "09afAZ-._!~";
-  const std::string& letters = field.type == Type::kDigits ? kDigits
-                               : field.type == Type::kHex  ? kHex
-                                                           : kToken;
+  const std::string& alphabet = field.type == Type::kDigits ? kDigits
+                                : field.type == Type::kHex  ? kHex
+                                                            : kToken;
   const auto longest = std::min<std::int64_t>(field.most, field.least + 70);
   const auto size = *rc::gen::elementOf(std::vector<std::int64_t>{
       field.least, longest, *rc::gen::inRange<std::int64_t>(field.least, longest + 1)});
   std::string text =
-      *rc::gen::container<std::string>(static_cast<std::size_t>(size), rc::gen::elementOf(letters));
-  // Long ones are where other dialects' bounds are.
+      *rc::gen::container<std::string>(static_cast<std::size_t>(size), rc::gen::elementOf(alphabet));
+  // The bounds of other dialects are among the long values.
   if (field.most > 900 && *rc::gen::inRange(0, 8) == 0)
     text.assign(static_cast<std::size_t>(field.most), 'x');
   return text;
 }
 
-plain::Fields any_fields(const std::vector<FieldSpec>& fields) {
+plain::Fields random_fields(const std::vector<FieldSpec>& fields) {
   plain::Fields made;
   for (const auto& field : fields) {
-    if (field.required || *rc::gen::arbitrary<bool>()) made[field.name] = any_value(field);
+    if (field.required || *rc::gen::arbitrary<bool>()) made[field.name] = random_value(field);
   }
   if (made.contains("tenant") && *rc::gen::arbitrary<bool>()) made["tenant"] = "acme";
   return made;
@@ -97,16 +98,16 @@
 
 }  // namespace
 
-TEST_CASE("the project's own dialects are sound") {
+TEST_CASE("the built-in dialects are valid and have different names") {
   std::set<std::string> names;
   for (const auto& dialect : dialects()) {
     for (const auto& fault : faults_of(dialect)) FAIL_CHECK(fault);
     CHECK(names.insert(dialect.name).second);
   }
-  CHECK(names.size() == kClients.size() + kServers.size());
+  CHECK(names.size() == kClientDialects.size() + kServerDialects.size());
 }
 
-TEST_CASE("a dialect with a fault is refused, and the field named") {
+TEST_CASE("an invalid dialect is reported with the name of the field") {
   auto dialect = *find_dialect("session-1");
   auto& fields = dialect.fields[static_cast<std::size_t>(Kind::kSetUp)];
   fields.push_back(fields.front());
@@ -115,44 +116,47 @@
   dialect.errors.push_back({450, 599, "", {}});
   dialect.errors.push_back({599, 500, "", {}});
   const auto faults = faults_of(dialect);
-  CHECK(has_fault(faults, "set-up.id: comes twice"));
-  CHECK(has_fault(faults, "set-up.id: means the same as another field"));
-  CHECK(has_fault(faults, "set-up.empty: nothing can be in its range"));
-  CHECK(has_fault(faults, "errors.503: has two meanings"));
-  CHECK(has_fault(faults, "errors.450: has two meanings"));
-  CHECK(has_fault(faults, "errors.599: its range is empty"));
-  auto wordless = *find_dialect("iso8583");
-  std::erase_if(wordless.words, [](const auto& word) { return word.reason == Reason::kCongestion; });
-  CHECK(has_fault(faults_of(wordless), "words.congestion: there is no word for it"));
+  CHECK(has_fault(faults, "set-up.id: is defined twice"));
+  CHECK(has_fault(faults, "set-up.id: has the same meaning as another field"));
+  CHECK(has_fault(faults, "set-up.empty: has an empty range of values"));
+  CHECK(has_fault(faults, "errors.503: overlaps another error"));
+  CHECK(has_fault(faults, "errors.450: overlaps another error"));
+  CHECK(has_fault(faults, "errors.599: has an empty range of codes"));
+  auto without_code = *find_dialect("iso8583");
+  std::erase_if(without_code.reason_codes,
+                [](const auto& entry) { return entry.reason == Reason::kCongestion; });
+  CHECK(has_fault(faults_of(without_code), "words.congestion: has no code"));
 }
 
-TEST_CASE("every client reaches every server, once the operator says what no client sends") {
-  const Translator translator(kClients, kServers, operators(kRegions));
+TEST_CASE("every pair of dialects has a mapping once the operator's table supplies the region") {
+  const Translator translator(kClientDialects, kServerDialects, read_operator_table(kRegionTable));
   for (const auto& fault : translator.faults()) FAIL_CHECK(fault);
   for (std::size_t client = 0; client < translator.clients(); ++client) {
     for (std::size_t server = 0; server < translator.servers(); ++server) {
       CHECK(translator.mapping(client, static_cast<DialectNo>(server)) != nullptr);
     }
   }
-  const Translator without(kClients, kServers, {});
-  CHECK(has_fault(without.faults(), "json-lines → session-2, set-up: region: is required and nothing says"));
-  CHECK(without.faults().size() == kClients.size());
+  const Translator without(kClientDialects, kServerDialects, {});
+  CHECK(
+      has_fault(without.faults(),
+                "json-lines → session-2, set-up: region: is required and no row or field gives its source"));
+  CHECK(without.faults().size() == kClientDialects.size());
   CHECK(without.mapping(0, *without.server_no("session-1")) != nullptr);
   CHECK(without.mapping(0, *without.server_no("session-2")) == nullptr);
 }
 
-TEST_CASE("a mapping that is not total is refused, and the field named") {
+TEST_CASE("a mapping that does not cover all messages is rejected with the name of the field") {
   struct Case {
-    const char* what;
-    std::string rows;  ///< beside a sound one for the region
+    const char* name;
+    std::string rows;  ///< rows of the operator's table
     std::string fault;
   };
   const auto region = [](const std::string& more) {
     return R"({"to":"session-2","field":"region",)" + more + "}";
   };
   const std::vector<Case> cases = {
-      {"no otherwise for a table", region(R"("by":"@tenant","table":{"acme":"x"})"),
-       "region: may be given what it cannot hold"},
+      {"a table without otherwise", region(R"("by":"@tenant","table":{"acme":"x"})"),
+       "region: may get a value that it cannot hold"},
       {"a value that the field cannot hold",
        region(R"("by":"@tenant","table":{"acme":"a b"},"otherwise":"not-eligible")"),
        "region: cannot hold \"a b\", the value for acme"},
@@ -160,66 +164,71 @@
        "region: cannot hold the constant"},
       {"a source that is not there", region(R"("copy":"nobody")"),
        "region: is required, and json-lines has no nobody"},
-      {"not eligible for want of any source", region(R"("copy":"nobody","otherwise":"not-eligible")"),
-       "no message could be said"},
-      {"a source of another type", region(R"("copy":"left")"), "region: is a token, and left a duration"},
-      {"required and left out", region(R"("by":"@tenant","table":{},"otherwise":"leave-out")"),
+      {"not eligible, with no source at all", region(R"("copy":"nobody","otherwise":"not-eligible")"),
+       "no message would be eligible"},
+      {"a source of another type", region(R"("copy":"left")"),
+       "region: is a token field, and left is a duration field"},
+      {"a required field that is left out", region(R"("by":"@tenant","table":{},"otherwise":"leave-out")"),
        "region: is required and cannot be left out"},
-      {"an optional source of what is required", region(R"("copy":"dest")"),
+      {"an optional source for a required field", region(R"("copy":"dest")"),
        "region: is required, and its source may be missing"},
-      {"a longer source", region(R"("copy":"tenant")"), "region: may be given what it cannot hold"},
+      {"a longer source", region(R"("copy":"tenant")"), "region: may get a value that it cannot hold"},
       {"a rule without otherwise", region(R"("rule":"lower","of":"tenant")"),
-       "region: may be given what it cannot hold"},
-      {"a rule of a number", region(R"("rule":"lower","of":"left","otherwise":"not-eligible")"),
-       "region: rules make texts out of texts"},
-      {"two rows", region(R"("constant":"x")") + "," + region(R"("constant":"y")"), "region: two rows"},
-      {"a key that cannot be", region(R"("by":"sid","table":{"acme":"x"},"otherwise":"not-eligible")"),
-       "region: sid is never \"acme\""},
-      {"a bad fallback", region(R"("by":"@tenant","table":{},"otherwise":{"constant":"a b"})"),
+       "region: may get a value that it cannot hold"},
+      {"a rule with a number as source", region(R"("rule":"lower","of":"left","otherwise":"not-eligible")"),
+       "region: a rule needs a text field"},
+      {"two rows", region(R"("constant":"x")") + "," + region(R"("constant":"y")"),
+       "region: two rows define its source"},
+      {"a key that the source cannot have",
+       region(R"("by":"sid","table":{"acme":"x"},"otherwise":"not-eligible")"),
+       "region: sid cannot have the value \"acme\""},
+      {"an invalid fallback", region(R"("by":"@tenant","table":{},"otherwise":{"constant":"a b"})"),
        "region: cannot hold the constant \"a b\""},
   };
-  for (const auto& one : cases) {
-    CAPTURE(one.what);
+  for (const auto& test_case : cases) {
+    CAPTURE(test_case.name);
     std::vector<std::string> faults;
     const auto made = compile(*find_dialect("json-lines"), *find_dialect("session-2"), Kind::kSetUp,
-                              operators("{\"rows\":[" + one.rows + "]}"), faults);
+                              read_operator_table("{\"rows\":[" + test_case.rows + "]}"), faults);
     CHECK_FALSE(made);
-    CHECK(has_fault(faults, one.fault));
+    CHECK(has_fault(faults, test_case.fault));
   }
-  // What is carried nowhere must be declared.
+  // A field that is not carried to the target must be declared lost.
   auto rich = *find_dialect("json-lines");
   rich.fields[0].push_back({"colour", Meaning::kNone, Type::kText, 0, 8, false});
   std::vector<std::string> faults;
   CHECK_FALSE(compile(rich, *find_dialect("sip"), Kind::kSetUp, {}, faults));
-  CHECK(has_fault(faults, "colour: is carried nowhere and not declared lost"));
+  CHECK(has_fault(faults, "colour: is not carried to any field and not declared lost"));
   CHECK(compile(rich, *find_dialect("sip"), Kind::kSetUp,
-                operators(R"({"rows":[{"lost":"colour","why":"vain"}]})"), faults));
+                read_operator_table(R"({"rows":[{"lost":"colour","why":"vain"}]})"), faults));
 }
 
-TEST_CASE("an operator's table with a fault is refused with the path of the field") {
+TEST_CASE("an invalid operator's table is rejected with the path of the field") {
   const std::vector<std::pair<std::string, std::string>> cases = {
       {"nonsense", "translate: not JSON"},
-      {"{\"a\xf0:", "translate: not JSON"},  // ends in a letter begun
+      {"{\"a\xf0:", "translate: not JSON"},  // ends within a UTF-8 sequence
       {"[]", "translate: is not an object"},
-      {R"({"row":[]})", "translate.row: is not known"},
-      {R"({"rows":{}})", "translate.rows: is not a list"},
+      {R"({"row":[]})", "translate.row: is not a known field"},
+      {R"({"rows":{}})", "translate.rows: is not an array"},
       {R"({"rows":[7]})", "translate.rows[0]: is not an object"},
       {R"({"rows":[{"field":"a","constant":"b"},{"to":"x","field":"a","constant":"b"}]})",
-       "translate.rows[1].to: \"x\" is no dialect"},
+       "translate.rows[1].to: \"x\" is not a known dialect"},
       {R"({"rows":[{"constant":"b"}]})", "translate.rows[0].field: is missing"},
-      {R"({"rows":[{"field":"a"}]})", "translate.rows[0]: needs just one of"},
-      {R"({"rows":[{"field":"a","constant":"b","copy":"c"}]})", "translate.rows[0]: needs just one of"},
-      {R"({"rows":[{"field":"a","rule":"magic","of":"c"}]})", "translate.rows[0].rule: \"magic\" is no rule"},
+      {R"({"rows":[{"field":"a"}]})", "translate.rows[0]: needs exactly one of"},
+      {R"({"rows":[{"field":"a","constant":"b","copy":"c"}]})", "translate.rows[0]: needs exactly one of"},
+      {R"({"rows":[{"field":"a","rule":"magic","of":"c"}]})",
+       "translate.rows[0].rule: \"magic\" is not a known rule"},
       {R"({"rows":[{"field":"a","rule":"upper"}]})", "translate.rows[0].of: is missing"},
       {R"({"rows":[{"field":"a","by":"c"}]})", "translate.rows[0].table: is missing"},
       {R"({"rows":[{"field":"a","by":"c","table":{"k":true}}]})", "translate.rows[0].table.k"},
       {R"({"rows":[{"field":"a","by":"c","table":{"k":"1","k":"2"}}]})",
-       "translate.rows[0].table.k: comes twice"},
+       "translate.rows[0].table.k: is defined twice"},
       {R"({"rows":[{"field":"a","copy":"c","otherwise":"maybe"}]})",
-       "translate.rows[0].otherwise: is none of"},
-      {R"({"rows":[{"field":"a","copy":"c","table":{}}]})", "translate.rows[0].table: needs by"},
+       "translate.rows[0].otherwise: is not one of"},
+      {R"({"rows":[{"field":"a","copy":"c","table":{}}]})",
+       "translate.rows[0].table: is only allowed with by"},
       {R"({"rows":[{"kind":"party","field":"a","copy":"c"}]})", "translate.rows[0].kind"},
-      {R"({"rows":[{"lost":"a","field":"b"}]})", "translate.rows[0].field: cannot stand beside lost"},
+      {R"({"rows":[{"lost":"a","field":"b"}]})", "translate.rows[0].field: cannot be combined with lost"},
       {R"({"errors":[{"dialect":"sip","code":0,"reason":"cut","ran":"no","about":"call"}]})",
        "translate.errors[0].code"},
       {R"({"errors":[{"dialect":"sip","code":400,"reason":"bad","ran":"no","about":"call"}]})",
@@ -240,8 +249,8 @@
   }
 }
 
-TEST_CASE("a set-up keeps its meaning field by field") {
-  const Translator translator(kClients, kServers, operators(kRegions));
+TEST_CASE("a set-up keeps the value of each field, and an unlisted tenant excludes one version") {
+  const Translator translator(kClientDialects, kServerDialects, read_operator_table(kRegionTable));
   const auto& from = translator.client(0).of(Kind::kSetUp);
   Record in, out;
   const plain::Fields values = {{"sid", "00112233445566aa"},
@@ -264,21 +273,22 @@
                                                                 {"retailer", "toko"},
                                                                 {"region", "surabaya"},
                                                                 {"again", "1"}});
-  // What no table can supply bars the version, and only that.
+  // A tenant that is not in the table makes the call ineligible for that version only.
   auto unlisted = values;
   unlisted["tenant"] = "warung";
   fill(in, from, unlisted);
-  const auto ruling = translator.rule(0, in, out);
+  const auto eligibility = translator.rule(0, in, out);
   const auto two = *translator.server_no("session-2");
-  CHECK(ruling.out == set_of(two));
-  CHECK(ruling.why[static_cast<std::size_t>(two)].bar == Bar::kNotListed);
-  CHECK(translator.server(two).of(Kind::kSetUp)[ruling.why[static_cast<std::size_t>(two)].field].name ==
-        "region");
+  CHECK(eligibility.ineligible == set_of(two));
+  CHECK(eligibility.results[static_cast<std::size_t>(two)].failure == MappingFailure::kNotInTable);
+  CHECK(translator.server(two)
+            .of(Kind::kSetUp)[eligibility.results[static_cast<std::size_t>(two)].field]
+            .name == "region");
 }
 
-TEST_CASE("a compiled program says what the plain interpreter says") {
+TEST_CASE("a compiled program gives the same result as the plain interpreter") {
   const std::vector<std::string> tables = {
-      kRegions,
+      kRegionTable,
       R"({"rows":[{"to":"session-2","field":"region","rule":"first-label","of":"@tenant","otherwise":{"constant":"any"}},
                   {"to":"session-2","field":"reference","copy":"@call"},
                   {"from":"iso8583","to":"session-2","field":"amountMinor","copy":"11"},
@@ -288,9 +298,9 @@
                   {"to":"session-2","field":"terminal","rule":"six-digits","of":"@number","otherwise":"leave-out"},
                   {"to":"session-2","lost":"@terminal"}]})"};
   for (const auto& json : tables) {
-    const auto table = operators(json);
-    for (const auto& client : kClients) {
-      for (const auto& server : kServers) {
+    const auto table = read_operator_table(json);
+    for (const auto& client : kClientDialects) {
+      for (const auto& server : kServerDialects) {
         for (const Kind kind : {Kind::kSetUp, Kind::kAnswer, Kind::kGiveUp, Kind::kRelease}) {
           const bool back = kind == Kind::kAnswer;
           const auto& from = *find_dialect(back ? server : client);
@@ -300,21 +310,21 @@
           const auto program = compile(from, to, kind, table, faults);
           for (const auto& fault : faults) FAIL_CHECK(fault);
           REQUIRE(program);
-          const plain::Interpreter slow(from, to, kind, table);
+          const plain::Interpreter interpreter(from, to, kind, table);
           Record in, out;
           const bool agree = rc::check(from.name + "-" + to.name, [&] {
-            const auto values = any_fields(from.of(kind));
+            const auto values = random_fields(from.of(kind));
             fill(in, from.of(kind), values);
             RC_ASSERT((!fault_in(from.of(kind), in)));
-            const auto said = program->run(in, out);
-            std::string bar;
-            const auto expected = slow.run(values, bar);
-            RC_ASSERT((static_cast<bool>(said) == expected.has_value()));
-            if (said) {
+            const auto result = program->run(in, out);
+            std::string failed_field;
+            const auto expected = interpreter.run(values, failed_field);
+            RC_ASSERT((static_cast<bool>(result) == expected.has_value()));
+            if (result) {
               RC_ASSERT((read(out, to.of(kind)) == *expected));
               RC_ASSERT((!fault_in(to.of(kind), out)));
             } else {
-              RC_ASSERT((to.of(kind)[said.field].name == bar));
+              RC_ASSERT((to.of(kind)[result.field].name == failed_field));
             }
           });
           CHECK(agree);
@@ -324,14 +334,15 @@
   }
 }
 
-TEST_CASE("durations are told in the other side's unit, and never longer") {
+TEST_CASE("durations are converted to the target's unit and rounded down") {
   Dialect from, to;
   from.name = "from";
   to.name = "to";
   from.fields[0] = {{"ms", Meaning::kPatience, Type::kDuration, 1000, 600'000'000, true, 1000}};
   to.fields[0] = {{"s", Meaning::kPatience, Type::kDuration, 0, 600'000'000, true, 1'000'000}};
   std::vector<std::string> faults;
-  CHECK_FALSE(compile(from, to, Kind::kSetUp, {}, faults));  // what it may be given is not proven to fit
+  CHECK_FALSE(compile(from, to, Kind::kSetUp, {},
+                      faults));  // a scaled value is not proven to be valid, so otherwise is required
   const Table table{{Row{"*", "*", Kind::kSetUp, "s", Copy{"ms"}, NotEligible{}}}, {}};
   faults.clear();
   const auto program = compile(from, to, Kind::kSetUp, table, faults);
@@ -346,24 +357,24 @@
   }
 }
 
-TEST_CASE("every error of every server has one meaning and one word at every client") {
-  for (const auto& server : kServers) {
+TEST_CASE("every error of every server has one meaning and one code for every client") {
+  for (const auto& server : kServerDialects) {
     const auto& dialect = *find_dialect(server);
     for (std::uint32_t code = 300; code < 6000; ++code) {
       const auto meaning = meaning_of(dialect, code);
-      // Only what is stated may be taken for proof that nothing ran.
-      const bool stated = std::any_of(
+      // Only an error that the dialect lists may prove that the call was not executed.
+      const bool is_listed = std::any_of(
           dialect.errors.begin(), dialect.errors.end(),
           [code](const auto& error) { return error.from == code && error.to == code && error.name.empty(); });
       const bool in_range = std::any_of(
           dialect.errors.begin(), dialect.errors.end(),
           [code](const auto& error) { return error.from <= code && code <= error.to && error.name.empty(); });
-      if (!stated && !in_range) CHECK(meaning == ErrorMeaning{});
+      if (!is_listed && !in_range) CHECK(meaning == ErrorMeaning{});
       if (!in_range) CHECK(meaning.ran == Ran::kMaybe);
     }
     for (const auto& error : dialect.errors) {
       if (error.from == error.to) CHECK(meaning_of(dialect, error.from, error.name) == error.meaning);
-      // A name that nobody has stated falls back to the number.
+      // An error with an unknown name has the meaning of its code.
       CHECK(meaning_of(dialect, error.from, "unheard-of") == meaning_of(dialect, error.from));
       const auto verdict = verdict_of(error.meaning);
       if (error.meaning.about != About::kServer) CHECK(verdict.is_caller_fault);
@@ -371,14 +382,14 @@
         CHECK(verdict.outcome != Outcome::kFull);
         CHECK(verdict.outcome != Outcome::kNotSent);
       }
-      for (const auto& client : kClients) {
-        const auto& words = *find_dialect(client);
-        const auto& word = word_for(words, error.meaning.reason);
-        CHECK(facts_of(word.reason).final_answer == facts_of(error.meaning.reason).final_answer);
+      for (const auto& client : kClientDialects) {
+        const auto& client_dialect = *find_dialect(client);
+        const auto& reason_code = word_for(client_dialect, error.meaning.reason);
+        CHECK(facts_of(reason_code.reason).final_answer == facts_of(error.meaning.reason).final_answer);
       }
     }
   }
-  // On the platform's front refusals are the causes 34, 42 and 102, and nothing else is.
+  // On JSON lines exactly the causes 34, 42 and 102 stand for a rejection.
   const auto& json = *find_dialect("json-lines");
   for (std::size_t i = 0; i < kReasons; ++i) {
     const auto reason = static_cast<Reason>(i);
@@ -388,8 +399,8 @@
   }
 }
 
-TEST_CASE("an operator's error takes the place of ours, or is added") {
-  const auto table = operators(
+TEST_CASE("an operator's error replaces the built-in one or is added") {
+  const auto table = read_operator_table(
       R"({"errors":[{"dialect":"session-2","code":429,"reason":"over-share","ran":"no","about":"call"},
                     {"dialect":"session-2","code":418,"name":"teapot","reason":"number-unknown","ran":"no","about":"call"}]})");
   const auto dialect = with_errors(*find_dialect("session-2"), table);
@@ -401,51 +412,52 @@
         find_dialect("session-1")->errors.size());
 }
 
-TEST_CASE("a call goes on to other versions, and its caller hears what says most") {
-  const auto one = DialectNo{2};
-  const auto two = DialectNo{3};
+TEST_CASE("a call may go to other versions, and its caller gets the most specific reason") {
+  const auto session_1 = DialectNo{2};
+  const auto session_2 = DialectNo{3};
   core::Placement call(set_of(DialectNo{0}) | set_of(DialectNo{1}));
-  CHECK_FALSE(call.is_unroutable(0));  // nothing is known to be spoken yet
-  CHECK_FALSE(call.is_unroutable(set_of(one)));
+  CHECK_FALSE(call.is_unroutable(0));  // no server's dialect is known yet
+  CHECK_FALSE(call.is_unroutable(set_of(session_1)));
   CHECK(call.is_unroutable(set_of(DialectNo{0})));
   CHECK(call.reason(Reason::kTimeout) == Reason::kTimeout);
-  auto verdict = call.on_attempt_ended(one, {Reason::kCongestion, Ran::kNo, About::kServer}, seconds{4});
+  auto verdict =
+      call.on_attempt_ended(session_1, {Reason::kCongestion, Ran::kNo, About::kServer}, seconds{4});
   CHECK(verdict.outcome == Outcome::kFull);
   CHECK_FALSE(verdict.is_caller_fault);
-  verdict = call.on_attempt_ended(one, {Reason::kNoCircuit, Ran::kNo, About::kServer}, seconds{2});
+  verdict = call.on_attempt_ended(session_1, {Reason::kNoCircuit, Ran::kNo, About::kServer}, seconds{2});
   CHECK(call.retry_after() == seconds{2});
   CHECK(call.reason(Reason::kCongestion) == Reason::kNoCircuit);
   CHECK(call.reason(Reason::kNoCompatibleServer) == Reason::kNoCompatibleServer);
-  verdict = call.on_attempt_ended(two, {Reason::kFieldRejected, Ran::kNo, About::kVersion});
+  verdict = call.on_attempt_ended(session_2, {Reason::kFieldRejected, Ran::kNo, About::kVersion});
   CHECK(verdict.outcome == Outcome::kNotSent);
   CHECK(verdict.is_caller_fault);
   CHECK(verdict.excludes_version);
   CHECK_FALSE(verdict.final_now);
-  CHECK_FALSE(call.is_unroutable(set_of(one) | set_of(two)));
-  CHECK(call.is_unroutable(set_of(two)));
+  CHECK_FALSE(call.is_unroutable(set_of(session_1) | set_of(session_2)));
+  CHECK(call.is_unroutable(set_of(session_2)));
   CHECK(call.reason(Reason::kCongestion) == Reason::kFieldRejected);
-  verdict = call.on_attempt_ended(one, {Reason::kTenantSuspended, Ran::kNo, About::kCall});
+  verdict = call.on_attempt_ended(session_1, {Reason::kTenantSuspended, Ran::kNo, About::kCall});
   CHECK(verdict.final_now);
   CHECK(call.reason(Reason::kCongestion) == Reason::kTenantSuspended);
 }
 
-TEST_CASE("Retry-After is read in both forms, and capped") {
+TEST_CASE("Retry-After is read in both formats and limited to the longest delay") {
   constexpr std::int64_t kNow = 784'111'777'000;  // Sun, 06 Nov 1994 08:49:37 GMT
-  const Duration most = seconds{30};
+  const Duration max_delay = seconds{30};
   struct Case {
     std::string value;
-    std::optional<Duration> read;
+    std::optional<Duration> expected;
   };
   const std::vector<Case> cases = {
       {"0", Duration::zero()},
       {"7", seconds{7}},
-      {"31", most},
-      {"99999999999999999999", most},
+      {"31", max_delay},
+      {"99999999999999999999", max_delay},
       {"Sun, 06 Nov 1994 08:49:47 GMT", seconds{10}},
       {"Sunday, 06-Nov-94 08:49:47 GMT", seconds{10}},
       {"Sun Nov  6 08:49:47 1994", seconds{10}},
       {"Sun, 06 Nov 1994 08:49:30 GMT", Duration::zero()},
-      {"Sun, 06 Nov 2094 08:49:30 GMT", most},
+      {"Sun, 06 Nov 2094 08:49:30 GMT", max_delay},
       {"Sun, 06 Nov 1994 08:49:47 CET", std::nullopt},
       {"", std::nullopt},
       {"-1", std::nullopt},
@@ -454,8 +466,8 @@
       {"soon", std::nullopt},
       {std::string(100, '1'), std::nullopt},
   };
-  for (const auto& one : cases) {
-    CAPTURE(one.value);
-    CHECK(read_retry_after(one.value, kNow, most) == one.read);
+  for (const auto& test_case : cases) {
+    CAPTURE(test_case.value);
+    CHECK(read_retry_after(test_case.value, kNow, max_delay) == test_case.expected);
   }
 }
