--- a/src/translate/mapping.cpp
+++ b/src/translate/mapping.cpp
@@ -225,7 +225,7 @@
     if (row == nullptr) {
       const auto source = index_of(sources(), spec.meaning);
       if (source == sources().size()) {
-        if (spec.required) add_fault(spec.name, "is required and no row or field gives its source");
+        if (spec.required) add_fault(spec.name, "is required and nothing says where it comes from");
         return;
       }
       if (!compile_copy(step, spec, source, description)) return;
--- a/tests/tool_test.cpp
+++ b/tests/tool_test.cpp
@@ -41,7 +41,7 @@
       {R"({"session_api":{"servers":{}}})", "session_api.servers: names no server"},
       {R"({"session_api":{"servers":{"a":"session-3"}}})", "session_api.servers.a: is none of"},
       {R"({"session_api":{"servers":{"a":"learn"}}})",
-       "region: is required and no row or field gives its source"},
+       "region: is required and nothing says where it comes from"},
       {R"({"translate":{"rows":[{"field":"x"}]}})", "translate.rows[0]: needs exactly one of"},
       {R"({"translate":{"rows":[{"field":"x","rule":"magic","of":"y"}]}})", "translate.rows[0].rule"},
   };
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -139,7 +139,7 @@
   const Translator without(kClientDialects, kServerDialects, {});
   CHECK(
       has_fault(without.faults(),
-                "json-lines → session-2, set-up: region: is required and no row or field gives its source"));
+                "json-lines → session-2, set-up: region: is required and nothing says where it comes from"));
   CHECK(without.faults().size() == kClientDialects.size());
   CHECK(without.mapping(0, *without.server_no("session-1")) != nullptr);
   CHECK(without.mapping(0, *without.server_no("session-2")) == nullptr);
