--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -65,12 +65,12 @@
 }
 
 plain::Fields random_fields(const std::vector<FieldSpec>& fields) {
-  plain::Fields made;
+  plain::Fields values;
   for (const auto& field : fields) {
-    if (field.required || *rc::gen::arbitrary<bool>()) made[field.name] = random_value(field);
+    if (field.required || *rc::gen::arbitrary<bool>()) values[field.name] = random_value(field);
   }
-  if (made.contains("tenant") && *rc::gen::arbitrary<bool>()) made["tenant"] = "acme";
-  return made;
+  if (values.contains("tenant") && *rc::gen::arbitrary<bool>()) values["tenant"] = "acme";
+  return values;
 }
 
 void fill(Record& record, const std::vector<FieldSpec>& fields, const plain::Fields& values) {
@@ -188,9 +188,9 @@
   for (const auto& test_case : cases) {
     CAPTURE(test_case.name);
     std::vector<std::string> faults;
-    const auto made = compile(*find_dialect("json-lines"), *find_dialect("session-2"), Kind::kSetUp,
-                              read_operator_table("{\"rows\":[" + test_case.rows + "]}"), faults);
-    CHECK_FALSE(made);
+    const auto program = compile(*find_dialect("json-lines"), *find_dialect("session-2"), Kind::kSetUp,
+                                 read_operator_table("{\"rows\":[" + test_case.rows + "]}"), faults);
+    CHECK_FALSE(program);
     CHECK(has_fault(faults, test_case.fault));
   }
   // A field that is not carried to the target must be declared lost.
