--- a/src/diameter/connection_pool.cpp
+++ b/src/diameter/connection_pool.cpp
@@ -321,7 +321,7 @@
   const auto meaning = find_meaning(result);
   const auto found = server.calls_by_hop_by_hop.find(message.hop_by_hop);
   if (found == server.calls_by_hop_by_hop.end()) {
-    // A success answer to an attempt that is already over: the session is terminated and nobody is told.
+    // A success answer to an attempt that is already over: the session is terminated, and no caller is told.
     const bool is_initial =
         message.number(AvpCode::kCcRequestType) == static_cast<std::uint32_t>(RequestType::kInitial);
     const std::string session_id(message.text(AvpCode::kSessionId));
--- a/src/diameter/frontend.cpp
+++ b/src/diameter/frontend.cpp
@@ -130,8 +130,7 @@
 void Frontend::on_initial_request(Peer& peer, const Message& message) {
   const std::string id(message.text(AvpCode::kSessionId));
   if (sessions_.contains(id)) {
-    // A repeated request of a session that is still held. The first request gets the only answer, sent
-    // already or to be sent.
+    // A repeated request for a known session is not answered: the first request has been or will be answered.
     ++counters_.unknown_ids;
     return;
   }
