--- a/bench/relay_bench.cpp
+++ b/bench/relay_bench.cpp
@@ -15,7 +15,7 @@
 /// Sends a message to an echoing peer and waits until it is back, over the relay if `use_relay`.
 void measure_round_trip(benchmark::State& state, bool use_relay) {
   asio::io_context io{1};
-  Scene scene{
+  RunContext scene{
       io,
       [] {
         return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
@@ -27,7 +27,7 @@
   tcp::socket client(io), server(io);
   bool accepted = false;
   acceptor.async_accept(server, [&](const asio::error_code&) { accepted = true; });
-  client.connect(use_relay ? relay.where() : acceptor.local_endpoint());
+  client.connect(use_relay ? relay.listen_endpoint() : acceptor.local_endpoint());
   while (!accepted) io.run_one();
   client.set_option(tcp::no_delay(true));
   server.set_option(tcp::no_delay(true));
--- a/bench/translate_bench.cpp
+++ b/bench/translate_bench.cpp
@@ -42,24 +42,23 @@
     R"("pasar-maju":"surabaya","warung-rejeki":"jakarta"},"otherwise":"not-eligible"}]})";
 
 /// Generates set-ups of one dialect from a fixed seed, as text by field name.
-std::vector<plain::Fields> generate_messages(const Dialect& dialect, std::size_t count) {
+std::vector<reference::Fields> generate_messages(const Dialect& dialect, std::size_t count) {
   static const std::vector<std::string> kTenants = {"toko-sinar", "pasar-maju", "warung-rejeki"};
   std::mt19937_64 random(20261201);
-  std::vector<plain::Fields> result(count);
+  std::vector<reference::Fields> result(count);
   for (auto& fields : result) {
-    for (const auto& field : dialect.of(Kind::kSetUp)) {
+    for (const auto& field : dialect.of(MessageKind::kSetUp)) {
       if (!field.required && random() % 2 == 0) continue;
       if (field.meaning == Meaning::kTenant) {
         fields[field.name] = kTenants[random() % kTenants.size()];
-      } else if (!is_textual(field.type)) {
-        const auto unit = field.type == Type::kDuration ? field.unit : 1;
-        const auto value_count = field.most / unit - field.least / unit + 1;
-        fields[field.name] =
-            std::to_string(field.least / unit +
-                           static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(value_count)));
+      } else if (!is_text(field.type)) {
+        const auto unit = field.type == FieldType::kDuration ? field.unit : 1;
+        const auto value_count = field.max / unit - field.min / unit + 1;
+        fields[field.name] = std::to_string(
+            field.min / unit + static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(value_count)));
       } else {
         const auto size =
-            field.meaning == Meaning::kDescription ? 200 : std::min<std::int64_t>(field.most, 16);
+            field.meaning == Meaning::kDescription ? 200 : std::min<std::int64_t>(field.max, 16);
         std::string text;
         for (std::int64_t i = 0; i < size; ++i) text += static_cast<char>('0' + random() % 10);
         fields[field.name] = text;
@@ -76,9 +75,9 @@
 constexpr DialectPair kDialectPairs[] = {
     {"json-lines", "sip"}, {"json-lines", "session-2"}, {"iso8583", "session-2"}};
 
-Table load_table() {
-  Table result;
-  if (!read_table(kTableJson, result).empty()) std::abort();
+MappingTable load_table() {
+  MappingTable result;
+  if (!parse_operator_table(kTableJson, result).empty()) std::abort();
   return result;
 }
 
@@ -88,18 +87,18 @@
   const auto operators = load_table();
   const auto& from = *find_dialect(pair.from);
   std::vector<std::string> faults;
-  const auto program = compile(from, *find_dialect(pair.to), Kind::kSetUp, operators, faults);
+  const auto program = compile(from, *find_dialect(pair.to), MessageKind::kSetUp, operators, faults);
   if (!program) std::abort();
   const auto values = generate_messages(from, 256);
   // Records as a front end passes them: views into its message, and parsed numbers.
   std::vector<std::unique_ptr<Record>> records;
-  const auto& fields = from.of(Kind::kSetUp);
+  const auto& fields = from.of(MessageKind::kSetUp);
   for (const auto& one : values) {
     auto& record = *records.emplace_back(std::make_unique<Record>());
     for (std::size_t i = 0; i < fields.size(); ++i) {
       const auto found = one.find(fields[i].name);
       if (found == one.end()) continue;
-      if (is_textual(fields[i].type)) {
+      if (is_text(fields[i].type)) {
         record.set(i, std::string_view(found->second));
       } else {
         record.set(i, static_cast<std::int64_t>(std::stoll(found->second)));
@@ -110,7 +109,7 @@
   std::size_t at = 0;
   const auto before = allocations.load();
   for (auto _ : state) {
-    const auto eligibility = program->run(*records[at++ & 255U], out);
+    const auto eligibility = program->translate_record(*records[at++ & 255U], out);
     if (!eligibility) std::abort();
     benchmark::DoNotOptimize(out);
   }
@@ -123,14 +122,14 @@
 void BM_Plain(benchmark::State& state) {
   const auto& pair = kDialectPairs[state.range(0)];
   const auto operators = load_table();
-  const plain::Interpreter interpreter(*find_dialect(pair.from), *find_dialect(pair.to), Kind::kSetUp,
-                                       operators);
+  const reference::Interpreter interpreter(*find_dialect(pair.from), *find_dialect(pair.to),
+                                           MessageKind::kSetUp, operators);
   const auto values = generate_messages(*find_dialect(pair.from), 256);
   std::string failed_field;
   std::size_t at = 0;
   const auto before = allocations.load();
   for (auto _ : state) {
-    auto out = interpreter.run(values[at++ & 255U], failed_field);
+    auto out = interpreter.translate_fields(values[at++ & 255U], failed_field);
     if (!out) std::abort();
     benchmark::DoNotOptimize(out);
   }
@@ -147,19 +146,19 @@
 void BM_DuplicateIndex(benchmark::State& state) {
   DuplicateRules rules;
   rules.max_bytes = 64U << 20U;
-  rules.over = std::chrono::seconds{60};
-  rules.open = std::chrono::seconds{30};
+  rules.finished_ttl = std::chrono::seconds{60};
+  rules.open_ttl = std::chrono::seconds{30};
   Instant now{std::chrono::seconds{1}};
   DuplicateIndex index(now, rules);
-  const Duration step{rules.over / kLiveEntries};
+  const Duration step{rules.finished_ttl / kLiveEntries};
   const std::string answer(64, 'a');
   std::uint64_t n = 0;
   const auto process_request = [&] {
     now += step;
     const auto key = request_key(1, "12345", "TERM0001", std::to_string(n), "1201093000");
-    index.request(now, key, CallId{static_cast<std::uint32_t>(n)});
-    index.answered(now, key, answer);
-    if (n++ % 3 == 0) benchmark::DoNotOptimize(index.request(now, key, CallId{0}));
+    index.on_request(now, key, CallId{static_cast<std::uint32_t>(n)});
+    index.on_answer(now, key, answer);
+    if (n++ % 3 == 0) benchmark::DoNotOptimize(index.on_request(now, key, CallId{0}));
   };
   for (int i = 0; i < 2 * kLiveEntries; ++i) process_request();
   const auto before = allocations.load();
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -18,7 +18,7 @@
   settings.classes[0].deadline = 9s;
   settings.classes[0].priority_weight = 1;
   settings.classes[0].idempotent = true;
-  settings.limits.max_tries = 4;
+  settings.limits.max_attempts = 4;
   settings.invariants = {20ms, 500ms, 4.0, 1500ms, 0.35, 12s, 300ms};
 
   Admission admission(settings);
--- a/fuzz/bodies_fuzz.cpp
+++ b/fuzz/bodies_fuzz.cpp
@@ -22,15 +22,15 @@
   switch (data[0] % 5) {
     case 0: {
       if (!reader.read_set_up(version, copy_body(text), record, error)) return 0;
-      const auto& fields =
-          translate::find_dialect(version == 1 ? "session-1" : "session-2")->of(translate::Kind::kSetUp);
+      const auto& fields = translate::find_dialect(version == 1 ? "session-1" : "session-2")
+                               ->of(translate::MessageKind::kSetUp);
       auto written = http2::write_body(fields, record);
       if (!second_reader.read_set_up(version, {written.data(), written.size()}, reread, error)) std::abort();
       for (std::size_t i = 0; i < fields.size(); ++i) {
         if (record.has(i) != reread.has(i)) std::abort();
         if (!record.has(i)) continue;
-        if (translate::is_textual(fields[i].type) ? record.text(i) != reread.text(i)
-                                                  : record.number(i) != reread.number(i)) {
+        if (translate::is_text(fields[i].type) ? record.text(i) != reread.text(i)
+                                               : record.number(i) != reread.number(i)) {
           std::abort();
         }
       }
--- a/fuzz/iso8583_fuzz.cpp
+++ b/fuzz/iso8583_fuzz.cpp
@@ -11,7 +11,7 @@
   std::string_view rest(reinterpret_cast<const char*>(data), size);
   for (;;) {
     const auto frame = read_frame(rest, 16 * 1024);
-    if (frame.state != Frame::State::kWhole) return 0;
+    if (frame.state != Frame::State::kComplete) return 0;
     Message message;
     const auto error = read(frame.body, message);
     // A message can be described even after an error, and its description must not contain the account
@@ -24,7 +24,7 @@
       const auto written = write(message);
       Message reread;
       if (written.empty() || read(std::string_view(written).substr(2), reread)) std::abort();
-      for (std::size_t i = 2; i <= kElements; ++i) {
+      for (std::size_t i = 2; i <= kElementCount; ++i) {
         if (reread.has(i) != message.has(i) || reread.text(i) != message.text(i)) std::abort();
       }
       if (!(reread.mti == message.mti)) std::abort();
--- a/fuzz/mapping_fuzz.cpp
+++ b/fuzz/mapping_fuzz.cpp
@@ -18,16 +18,16 @@
   for (std::size_t i = 0; i < fields.size(); ++i) {
     const auto& field = fields[i];
     if (!field.required && !largest) continue;
-    if (field.type == Type::kWord) {
-      texts[i] = field.words.front();
-    } else if (is_textual(field.type)) {
-      texts[i].assign(static_cast<std::size_t>(largest ? field.most : field.least), '7');
+    if (field.type == FieldType::kWord) {
+      texts[i] = field.allowed_values.front();
+    } else if (is_text(field.type)) {
+      texts[i].assign(static_cast<std::size_t>(largest ? field.max : field.min), '7');
     }
-    if (is_textual(field.type)) {
+    if (is_text(field.type)) {
       record.set(i, std::string_view(texts[i]));
     } else {
-      const auto unit = field.type == Type::kDuration ? field.unit : 1;
-      record.set(i, (largest ? field.most : field.least) / unit);
+      const auto unit = field.type == FieldType::kDuration ? field.unit : 1;
+      record.set(i, (largest ? field.max : field.min) / unit);
     }
   }
 }
@@ -35,24 +35,26 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  Table table;
-  if (!read_table(std::string(reinterpret_cast<const char*>(data), size), table).empty()) return 0;
+  MappingTable table;
+  if (!parse_operator_table(std::string(reinterpret_cast<const char*>(data), size), table).empty()) return 0;
   if (table.rows.size() > 40) return 0;
   static Record in, out;
   std::vector<std::string> texts;
   const Translator translator({"json-lines", "diameter", "iso8583"},
                               {"sip", "diameter-server", "session-1", "session-2"}, table);
-  for (std::size_t client = 0; client < translator.clients(); ++client) {
-    for (std::size_t server = 0; server < translator.servers(); ++server) {
-      const auto server_number = static_cast<DialectNo>(server);
+  for (std::size_t client = 0; client < translator.client_dialect_count(); ++client) {
+    for (std::size_t server = 0; server < translator.server_dialect_count(); ++server) {
+      const auto server_number = static_cast<DialectIndex>(server);
       const auto* mapping = translator.mapping(client, server_number);
       if (mapping == nullptr) continue;
       for (const bool largest : {false, true}) {
-        fill_message(translator.client(client).of(Kind::kSetUp), largest, texts, in);
-        if (mapping->set_up.run(in, out) && fault_in(translator.server(server_number).of(Kind::kSetUp), out))
+        fill_message(translator.client_dialect(client).of(MessageKind::kSetUp), largest, texts, in);
+        if (mapping->set_up.translate_record(in, out) &&
+            find_invalid_field(translator.server_dialect(server_number).of(MessageKind::kSetUp), out))
           std::abort();
-        fill_message(translator.server(server_number).of(Kind::kAnswer), largest, texts, in);
-        if (mapping->answer.run(in, out) && fault_in(translator.client(client).of(Kind::kAnswer), out))
+        fill_message(translator.server_dialect(server_number).of(MessageKind::kAnswer), largest, texts, in);
+        if (mapping->answer.translate_record(in, out) &&
+            find_invalid_field(translator.client_dialect(client).of(MessageKind::kAnswer), out))
           std::abort();
       }
     }
--- a/include/amberknot/admission.hpp
+++ b/include/amberknot/admission.hpp
@@ -56,12 +56,12 @@
 
 /// What the module may do in a deployment.
 struct Limits {
-  bool cancel = false;          ///< may emit CancelAttempt
-  bool probes = false;          ///< may emit CheckHealth
-  bool peers = false;           ///< may exchange messages with its peers
-  bool retry_advice = false;    ///< may advise a rejected caller when to redial
-  std::uint32_t max_tries = 0;  ///< attempts per call
-  Duration max_retry_advice{};  ///< longest RejectCall::retry_after
+  bool may_cancel = false;         ///< may emit CancelAttempt
+  bool may_check_health = false;   ///< may emit CheckHealth
+  bool may_message_peers = false;  ///< may exchange messages with its peers
+  bool may_advise_retry = false;   ///< may advise a rejected caller when to redial
+  std::uint32_t max_attempts = 0;  ///< attempts per call
+  Duration max_retry_after{};      ///< longest RejectCall::retry_after
 };
 
 /// Parameters of the rules that a sender must never break.
@@ -80,13 +80,13 @@
 struct Settings {
   std::uint64_t seed = 0;                       ///< of the random choices
   std::uint32_t peer_count = 0;                 ///< number of senders, this one included
-  PeerId self{};                                ///< this sender
+  PeerId own_id{};                              ///< this sender
   std::optional<PoolId> own_pool;               ///< never sent to; absent where no call is in transit
   bool endpoint_list_is_pushed = true;          ///< false: the module requests it with WatchEndpoints
   Duration batch_interval{};                    ///< shortest time between batches of events
   std::optional<Duration> retransmit_interval;  ///< until a set-up is repeated; absent: never
-  double over_quota_weight = 1;    ///< factor of the priority weight of calls over their tenant's quota
-  std::vector<CallClass> classes;  ///< at least one
+  double over_quota_weight_factor = 1;  ///< factor of the priority weight of calls over their tenant's quota
+  std::vector<CallClass> classes;       ///< at least one
   std::vector<Tenant> tenants;
   Limits limits;
   Invariants invariants;
@@ -96,14 +96,14 @@
 
 /// Load that a server's processor reports. The values may be delayed and noisy.
 struct LoadReport {
-  std::optional<double> free_lines;   ///< lines not in use
-  std::optional<double> lines;        ///< all lines, in use or free
-  std::optional<Duration> wait;       ///< time that a set-up waits at present
-  std::optional<double> accept_rate;  ///< set-ups per second that it accepts from all senders together
-  std::optional<double> hold_back;    ///< share of set-ups that it asks each sender to withhold
-  std::optional<double> in_work;      ///< set-ups in progress
-  std::optional<double> waiting;      ///< set-ups in its queue
-  std::optional<double> busy;         ///< utilization of the processor
+  std::optional<double> free_lines;     ///< lines not in use
+  std::optional<double> total_lines;    ///< all lines, in use or free
+  std::optional<Duration> queue_delay;  ///< time that a set-up waits at present
+  std::optional<double> accept_rate;    ///< set-ups per second that it accepts from all senders together
+  std::optional<double> requested_rejection_share;  ///< share of set-ups that it asks each sender to withhold
+  std::optional<double> in_progress;                ///< set-ups in progress
+  std::optional<double> queued;                     ///< set-ups in its queue
+  std::optional<double> utilization;                ///< utilization of the processor
 };
 
 /// State of a server in the endpoint list.
@@ -178,8 +178,8 @@
   bool call_ended = false;       ///< the call needs no further attempt and no answer
   bool is_caller_fault = false;  ///< an error not caused by the server: the number was busy, or the
                                  ///< server does not accept a field of the call
-  ProtocolVersionSet excludes_versions = 0;  ///< versions that no later attempt of this call may use
-  std::optional<Duration> retry_after;       ///< pause that a full processor asks for
+  ProtocolVersionSet newly_excluded_versions = 0;  ///< versions that no later attempt of this call may use
+  std::optional<Duration> retry_after;             ///< pause that a full processor asks for
   LoadReport report;
 };
 
@@ -284,12 +284,12 @@
   void handle(Instant now, const Event& event, std::vector<Action>& actions);
 
   /// Replaces the classes and limits of a running sender. Classes may be added, but keep their indices. Calls
-  /// in progress keep the settings of their class; a lower `max_tries` applies from their next attempt.
+  /// in progress keep the settings of their class; a lower `max_attempts` applies from their next attempt.
   /// Throws std::invalid_argument if there are fewer classes than before.
   void apply_reload(const std::vector<CallClass>& classes, const Limits& limits);
 
   /// Number of servers in memory, including those removed recently.
-  [[nodiscard]] std::size_t known_servers() const;
+  [[nodiscard]] std::size_t known_server_count() const;
   /// Number of times that a server was evaluated for a call since the start; measures the cost of decisions.
   [[nodiscard]] std::uint64_t server_evaluations() const;
 
--- a/lab/fleet/checker.cpp
+++ b/lab/fleet/checker.cpp
@@ -106,7 +106,7 @@
 }
 
 bool is_final(EventKind kind) {
-  return kind == EventKind::kAnswer || kind == EventKind::kRefused || kind == EventKind::kFailed;
+  return kind == EventKind::kAnswer || kind == EventKind::kRejected || kind == EventKind::kFailed;
 }
 
 RuleVerdict check_final_answers(const HistoryIndex& index, const RuleLimits& limits) {
@@ -194,9 +194,9 @@
       ++verdict.checked;
       const auto& previous = attempts[i - 1];
       const auto& next = attempts[i];
-      const bool was_refused = previous.end != nullptr && previous.end->time <= next.invite->time &&
-                               previous.end->kind == EventKind::kDenied;
-      if (was_refused) continue;  // the server refused it, so the next attempt may follow at once
+      const bool was_rejected = previous.end != nullptr && previous.end->time <= next.invite->time &&
+                                previous.end->kind == EventKind::kDenied;
+      if (was_rejected) continue;  // the server rejected it, so the next attempt may follow at once
       const char* problem = nullptr;
       if (previous.end == nullptr || previous.end->time > next.invite->time) {
         problem = "two attempts of the call at the same time";
--- a/lab/fleet/history.hpp
+++ b/lab/fleet/history.hpp
@@ -17,7 +17,7 @@
   // Observed by a caller
   kSetUp,     ///< sent a set-up to router `peer`; `number`: how long the caller waits, in ms
   kAnswer,    ///< the call is established; `text`: the session description
-  kRefused,   ///< the call was refused; `number`: when to retry, in ms
+  kRejected,  ///< the call was rejected; `number`: when to retry, in ms
   kFailed,    ///< the call failed; `number`: the cause
   kGaveUp,    ///< the caller has stopped waiting
   kLost,      ///< the connection closed before the answer
--- a/lab/fleet/relay.cpp
+++ b/lab/fleet/relay.cpp
@@ -30,7 +30,7 @@
       : relay_(&relay),
         number_(number),
         client_side_(std::move(client), relay.forward_faults_),
-        target_side_(tcp::socket(relay.scene_.io), relay.backward_faults_) {
+        target_side_(tcp::socket(relay.context_.io), relay.backward_faults_) {
     client_side_.peer = &target_side_;
     target_side_.peer = &client_side_;
   }
@@ -54,7 +54,7 @@
   }
   /// Connects to the target at the time at which a fault ends. Until then nothing is read.
   void connect_at(Duration time) {
-    timer_.emplace(relay_->scene_.io, time - relay_->scene_.now());
+    timer_.emplace(relay_->context_.io, time - relay_->context_.now());
     timer_->async_wait([self = shared_from_this()](const asio::error_code& error) {
       if (!error && !self->is_closed_) self->connect();
     });
@@ -123,7 +123,7 @@
 
   void on_read(Side& side, std::size_t size, bool is_finished) {
     auto& counts = relay_->counts_;
-    const Duration now = relay_->scene_.now();
+    const Duration now = relay_->context_.now();
     const auto action = side.faults.stream_action(now, number_);
     ++counts.chunks;
     counts.bytes += size;
@@ -170,7 +170,7 @@
 
   void write(Side& side) {
     if (side.is_writing || side.queue.empty() || is_closed_) return;
-    const Duration now = relay_->scene_.now();
+    const Duration now = relay_->context_.now();
     const auto& first = side.queue.front();
     if (first.due > now) {
       side.timer.expires_after(first.due - now);
@@ -212,14 +212,14 @@
   bool is_closed_ = false;
 };
 
-StreamRelay::StreamRelay(Scene& scene, const Schedule& schedule, const std::string& from,
+StreamRelay::StreamRelay(RunContext& context, const Schedule& schedule, const std::string& from,
                          const std::string& to, tcp::endpoint target, RelayCounts& counts)
-    : scene_(scene),
+    : context_(context),
       forward_faults_(schedule, from, to),
       backward_faults_(schedule, to, from),
       target_(std::move(target)),
       counts_(counts),
-      acceptor_(scene.io, tcp::endpoint(kLoopback, 0)),
+      acceptor_(context.io, tcp::endpoint(kLoopback, 0)),
       where_(acceptor_.local_endpoint()) {
   schedule_connection_cuts(forward_faults_);
   schedule_connection_cuts(backward_faults_);
@@ -240,7 +240,7 @@
 
 void StreamRelay::schedule_connection_cuts(const LinkFaults& faults) {
   for (const auto time : faults.connection_cut_times()) {
-    auto& timer = timers_.emplace_back(scene_.io, time - scene_.now());
+    auto& timer = timers_.emplace_back(context_.io, time - context_.now());
     timer.async_wait([this](const asio::error_code& error) {
       if (!error) apply_connection_cuts();
     });
@@ -250,7 +250,7 @@
 void StreamRelay::apply_connection_cuts() {
   for (const auto& connection : std::list(relayed_connections_)) {
     for (auto* faults : {&forward_faults_, &backward_faults_}) {
-      const auto kind = faults->stream_action(scene_.now(), connection->number()).kind;
+      const auto kind = faults->stream_action(context_.now(), connection->number()).kind;
       if (kind == StreamAction::Kind::kReset || kind == StreamAction::Kind::kFinish) connection->close(kind);
     }
   }
@@ -266,7 +266,7 @@
 
 void StreamRelay::on_accepted(tcp::socket socket) {
   ++counts_.connections;
-  const Duration now = scene_.now();
+  const Duration now = context_.now();
   // A connection is established only if both directions work; the more severe action applies.
   const auto number = ++connection_count_;
   auto action = forward_faults_.stream_action(now, number);
@@ -299,9 +299,9 @@
 // ---- datagrams ------------------------------------------------------------------------------------------
 
 struct DatagramRelay::Link {
-  Link(Scene& scene, const Schedule& schedule, const std::string& from_name, const std::string& to_name,
-       std::size_t from, std::size_t to)
-      : socket(scene.io, udp::endpoint(kLoopback, 0)),
+  Link(RunContext& context, const Schedule& schedule, const std::string& from_name,
+       const std::string& to_name, std::size_t from, std::size_t to)
+      : socket(context.io, udp::endpoint(kLoopback, 0)),
         faults(schedule, from_name, to_name),
         from(from),
         to(to) {
@@ -315,13 +315,13 @@
   std::array<char, 64 * 1024> buffer;
 };
 
-DatagramRelay::DatagramRelay(Scene& scene, const Schedule& schedule, const std::vector<std::string>& nodes,
-                             RelayCounts& counts)
-    : scene_(scene), counts_(counts), node_addresses_(nodes.size()) {
+DatagramRelay::DatagramRelay(RunContext& context, const Schedule& schedule,
+                             const std::vector<std::string>& nodes, RelayCounts& counts)
+    : context_(context), counts_(counts), node_addresses_(nodes.size()) {
   for (std::size_t i = 0; i < nodes.size(); ++i) {
     auto& row = links_.emplace_back();
     for (std::size_t j = 0; j < nodes.size(); ++j) {
-      row.push_back(std::make_unique<Link>(scene, schedule, nodes[i], nodes[j], i, j));
+      row.push_back(std::make_unique<Link>(context, schedule, nodes[i], nodes[j], i, j));
     }
   }
   for (auto& row : links_) {
@@ -360,7 +360,7 @@
 void DatagramRelay::forward(std::size_t from, std::size_t to, std::shared_ptr<std::vector<char>> bytes) {
   auto& link = *links_[from][to];
   ++counts_.datagrams;
-  const auto delivery = link.faults.deliver_datagram(scene_.now());
+  const auto delivery = link.faults.deliver_datagram(context_.now());
   if (delivery.count == 0) ++counts_.datagrams_lost;
   if (delivery.count == 2) ++counts_.datagrams_duplicated;
   for (std::size_t i = 0; i < delivery.count; ++i) {
@@ -375,7 +375,7 @@
       ++counts_.datagrams_lost;
     } else {
       ++link.held_count;
-      auto timer = std::make_shared<asio::steady_timer>(scene_.io, delivery.delays[i]);
+      auto timer = std::make_shared<asio::steady_timer>(context_.io, delivery.delays[i]);
       timer->async_wait([send, timer, &link](const asio::error_code& error) {
         if (error) return;
         --link.held_count;
@@ -391,21 +391,21 @@
 constexpr Duration kCheckInterval = milliseconds{10};
 }
 
-LatenessMonitor::LatenessMonitor(Scene& scene, Duration threshold)
-    : scene_(scene), threshold_(threshold), timer_(scene.io) {
+LatenessMonitor::LatenessMonitor(RunContext& context, Duration threshold)
+    : context_(context), threshold_(threshold), timer_(context.io) {
   schedule_check();
 }
 
 void LatenessMonitor::schedule_check() {
-  const Duration due = scene_.now() + kCheckInterval;
+  const Duration due = context_.now() + kCheckInterval;
   timer_.expires_after(kCheckInterval);
   timer_.async_wait([this, due](const asio::error_code& error) {
     if (error) return;
-    const Duration late = scene_.now() - due;
+    const Duration late = context_.now() - due;
     max_lateness_ = std::max(max_lateness_, late);
     if (late > threshold_) {
-      scene_.note({scene_.now(), "relay", EventKind::kLate, "", "",
-                   std::chrono::duration_cast<milliseconds>(late).count(), ""});
+      context_.record_event({context_.now(), "relay", EventKind::kLate, "", "",
+                             std::chrono::duration_cast<milliseconds>(late).count(), ""});
     }
     schedule_check();
   });
--- a/lab/fleet/relay.hpp
+++ b/lab/fleet/relay.hpp
@@ -18,10 +18,10 @@
 namespace amberknot::lab::fleet {
 
 /// What the parts of a run share: the I/O context, the clock of the run and the recorder of events.
-struct Scene {
+struct RunContext {
   asio::io_context& io;
   std::function<Duration()> now;
-  std::function<void(Event)> note;
+  std::function<void(Event)> record_event;
 };
 
 /// Counters of what the relay did, for the summary of the run.
@@ -37,17 +37,17 @@
 /// Datagrams held for one link at which the relay drops further ones.
 inline constexpr std::size_t kMaxHeldDatagrams = 1024;
 
-/// One TCP link. Forwards each connection to the address `where()` to the target.
+/// One TCP link. Forwards each connection to the address `listen_endpoint()` to the target.
 class StreamRelay {
  public:
-  StreamRelay(Scene& scene, const Schedule& schedule, const std::string& from, const std::string& to,
+  StreamRelay(RunContext& context, const Schedule& schedule, const std::string& from, const std::string& to,
               asio::ip::tcp::endpoint target, RelayCounts& counts);
   ~StreamRelay();
   StreamRelay(const StreamRelay&) = delete;
   StreamRelay& operator=(const StreamRelay&) = delete;
 
   /// Returns the address on which the relay listens.
-  [[nodiscard]] asio::ip::tcp::endpoint where() const { return where_; }
+  [[nodiscard]] asio::ip::tcp::endpoint listen_endpoint() const { return where_; }
   /// Replaces the schedule. The faults of a fleet begin only when all of its routers are ready.
   void set_schedule(const Schedule& schedule, const std::string& from, const std::string& to);
 
@@ -60,7 +60,7 @@
   /// Sets a timer for the start of each fault that closes connections.
   void schedule_connection_cuts(const LinkFaults& faults);
 
-  Scene& scene_;
+  RunContext& context_;
   LinkFaults forward_faults_, backward_faults_;
   asio::ip::tcp::endpoint target_;
   RelayCounts& counts_;
@@ -75,7 +75,7 @@
 /// receives these datagrams from `address(j, i)`, so that a reply to the sender's address reaches i.
 class DatagramRelay {
  public:
-  DatagramRelay(Scene& scene, const Schedule& schedule, const std::vector<std::string>& nodes,
+  DatagramRelay(RunContext& context, const Schedule& schedule, const std::vector<std::string>& nodes,
                 RelayCounts& counts);
   ~DatagramRelay();
   DatagramRelay(const DatagramRelay&) = delete;
@@ -91,7 +91,7 @@
   struct Link;
   void read(Link& link);
   void forward(std::size_t from, std::size_t to, std::shared_ptr<std::vector<char>> bytes);
-  Scene& scene_;
+  RunContext& context_;
   RelayCounts& counts_;
   std::vector<asio::ip::udp::endpoint> node_addresses_;
   std::vector<std::vector<std::unique_ptr<Link>>> links_;  ///< [from][to]; [from][from] broadcasts
@@ -100,13 +100,13 @@
 /// Records when the thread of the run is late, since a late relay looks like a slow router.
 class LatenessMonitor {
  public:
-  LatenessMonitor(Scene& scene, Duration threshold);
+  LatenessMonitor(RunContext& context, Duration threshold);
   /// Returns the greatest lateness observed so far.
   [[nodiscard]] Duration max_lateness() const { return max_lateness_; }
 
  private:
   void schedule_check();
-  Scene& scene_;
+  RunContext& context_;
   Duration threshold_, max_lateness_{};
   asio::steady_timer timer_;
 };
--- a/lab/fleet/runner.cpp
+++ b/lab/fleet/runner.cpp
@@ -35,7 +35,7 @@
 class ReservedPort {
  public:
   explicit ReservedPort(asio::io_context& io) : socket_(io) {
-    net::bind_shared(socket_, {asio::ip::address_v4::loopback(), 0});
+    net::bind_reusable_port(socket_, {asio::ip::address_v4::loopback(), 0});
     address_ = socket_.local_endpoint();
   }
   [[nodiscard]] const tcp::endpoint& address() const { return address_; }
@@ -65,10 +65,10 @@
   explicit Fleet(const FleetOptions& options)
       : options_(options),
         started_at_(net::Loop::now()),
-        scene_{loop_.io, [this] { return net::Loop::now() - started_at_; },
-               [this](Event event) { record(std::move(event)); }},
+        context_{loop_.io, [this] { return net::Loop::now() - started_at_; },
+                 [this](Event event) { record(std::move(event)); }},
         log_(spdlog::basic_logger_mt(options.folder, options.folder + "/history.jsonl", true)),
-        lateness_monitor_(scene_, options.limits.max_relay_lateness) {
+        lateness_monitor_(context_, options.limits.max_relay_lateness) {
     log_->set_pattern("%v");
   }
   ~Fleet() { spdlog::drop(options_.folder); }
@@ -82,9 +82,9 @@
     wait_until([this] { return are_all_ready(); }, kReadyTimeout,
                "fleet: a router did not become ready in time");
     start_schedule();
-    const Duration end = scene_.now() + options_.schedule.length;
+    const Duration end = context_.now() + options_.schedule.length;
     for (auto& router : routers_) router.callers->call_until(end - options_.caller_timeout);
-    wait_until([&] { return scene_.now() >= end; }, Duration::max(), "");
+    wait_until([&] { return context_.now() >= end; }, Duration::max(), "");
     stop_all();
     FleetResult result;
     result.history = merge_by_time({std::move(history_)});
@@ -102,14 +102,14 @@
     history_.push_back(std::move(event));
   }
   void record(const std::string& who, EventKind kind, std::int64_t number = 0) {
-    record({scene_.now(), who, kind, "", "", number, ""});
+    record({context_.now(), who, kind, "", "", number, ""});
   }
 
   void create_fleet() {
     std::vector<std::string> names;
     for (std::size_t i = 0; i < options_.servers; ++i) {
-      servers_.push_back(std::make_unique<SipServer>(loop_, scene_, "s" + std::to_string(i), options_.traits,
-                                                     options_.schedule.seed));
+      servers_.push_back(std::make_unique<SipServer>(loop_, context_, "s" + std::to_string(i),
+                                                     options_.traits, options_.schedule.seed));
     }
     for (std::size_t i = 0; i < options_.routers; ++i) {
       auto& router = routers_.emplace_back();
@@ -118,7 +118,7 @@
       router.folder = options_.folder + "/" + router.name;
       std::filesystem::create_directories(router.folder + "/tmp");
       for (const auto& server : servers_) {
-        router.to_servers.push_back(std::make_unique<StreamRelay>(scene_, shifted_schedule_, router.name,
+        router.to_servers.push_back(std::make_unique<StreamRelay>(context_, shifted_schedule_, router.name,
                                                                   server->name(),
                                                                   server->listen_for(router.name), counts_));
       }
@@ -136,7 +136,7 @@
       const auto& name = servers_[i]->name();
       if (!is_snapshot && !covers(server_patterns, name)) continue;
       text += std::string(text.empty() ? "" : ",") + "{\"name\":\"" + name + "\",\"address\":\"" +
-              net::text_of(router.to_servers[i]->where()) +
+              net::to_text(router.to_servers[i]->listen_endpoint()) +
               "\",\"zone\":\"z\",\"type\":\"std\",\"group\":0,\"status\":\"" + state +
               "\",\"weight\":1,\"since_ms\":0}";
     }
@@ -146,7 +146,7 @@
 
   void write_config(const Router& router) const {
     std::ofstream(router.folder + "/config.json") << config_text(
-        {router.name, net::text_of(router.port->address()), net::text_of(router.channel->address()),
+        {router.name, net::to_text(router.port->address()), net::to_text(router.channel->address()),
          options_.schedule.seed, router.channel->known_events(), options_.routers},
         options_.limits);
   }
@@ -157,7 +157,7 @@
     record(router.name, EventKind::kStarted);
     router.process = spawn(router);
     if (!router.callers) {
-      router.callers = std::make_unique<Callers>(loop_, scene_, "c" + router.name.substr(1), router.name,
+      router.callers = std::make_unique<Callers>(loop_, context_, "c" + router.name.substr(1), router.name,
                                                  router.port->address(), options_.calls_per_s,
                                                  options_.caller_timeout, options_.schedule.seed);
     }
@@ -177,7 +177,7 @@
     return std::make_unique<Process>(
         std::vector<std::string>{options_.program},
         std::map<std::string, std::string>{{"RELAY_NAME", router.name},
-                                           {"RELAY_LISTEN", net::text_of(router.port->address())},
+                                           {"RELAY_LISTEN", net::to_text(router.port->address())},
                                            {"RELAY_CONFIG", router.folder + "/config.json"},
                                            {"RELAY_CONTROL", ""},
                                            {"TMPDIR", router.folder + "/tmp"}},
@@ -190,7 +190,7 @@
     record(router.name, EventKind::kStarted);
     router.replaced_process = std::move(router.process);
     router.process = spawn(router);
-    stop_replaced_process_when_ready(router, scene_.now() + kReadyTimeout);
+    stop_replaced_process_when_ready(router, context_.now() + kReadyTimeout);
   }
 
   /// Stops the replaced process once the log of the new one shows that it serves callers. Throws
@@ -199,9 +199,9 @@
     std::ifstream log(log_path(router));
     const std::string text((std::istreambuf_iterator<char>(log)), {});
     if (text.find(" serves callers at ") == std::string::npos) {
-      if (scene_.now() > limit)
+      if (context_.now() > limit)
         throw std::runtime_error("fleet: a replacing process did not become ready in time");
-      schedule_at(scene_.now() + kPollInterval,
+      schedule_at(context_.now() + kPollInterval,
                   [this, &router, limit] { stop_replaced_process_when_ready(router, limit); });
       return;
     }
@@ -209,7 +209,7 @@
     record(replaced_name(router), EventKind::kStopping);
     router.replaced_process->send_signal(SIGTERM);
     ++restarts_;
-    schedule_at(scene_.now() + kKillDelay, [this, &router] {
+    schedule_at(context_.now() + kKillDelay, [this, &router] {
       if (!router.replaced_process) return;
       record(replaced_name(router), EventKind::kKilled);
       router.replaced_process->send_signal(SIGKILL);
@@ -243,7 +243,7 @@
 
   /// Starts the schedule: the times of its faults count from now on.
   void start_schedule() {
-    const Duration from = scene_.now();
+    const Duration from = context_.now();
     for (const auto& fault : options_.schedule.links) {
       auto shifted_fault = fault;
       shifted_fault.at += from;
@@ -267,12 +267,12 @@
   }
 
   void schedule_at(Duration time, std::function<void()> action) {
-    loop_.after(std::max<Duration>(time - scene_.now(), Duration::zero()), std::move(action));
+    loop_.run_after(std::max<Duration>(time - context_.now(), Duration::zero()), std::move(action));
   }
 
   void record_fault(const LinkFault& fault, EventKind kind) {
     const auto record_direction = [&](const std::string& from, const std::string& to) {
-      record({scene_.now(), from, kind, "", to, 0, std::string(name_of(fault.kind))});
+      record({context_.now(), from, kind, "", to, 0, std::string(name_of(fault.kind))});
     };
     for (const auto& router : routers_) {
       for (const auto& server : servers_) {
@@ -287,7 +287,7 @@
     if (fault.kind == NodeFaultKind::kDrain) {
       drain(fault.nodes, "draining", EventKind::kDrained);
       if (fault.back_after) {
-        schedule_at(scene_.now() + *fault.back_after,
+        schedule_at(context_.now() + *fault.back_after,
                     [this, nodes = fault.nodes] { drain(nodes, "ready", EventKind::kResumed); });
       }
       return;
@@ -306,7 +306,7 @@
                                   : fault.kind == NodeFaultKind::kFreeze ? SIGSTOP
                                                                          : SIGTERM);
       if (!fault.back_after) continue;
-      schedule_at(scene_.now() + *fault.back_after,
+      schedule_at(context_.now() + *fault.back_after,
                   [this, &router, stops_process] { restore(router, stops_process); });
     }
   }
@@ -320,7 +320,7 @@
     }
     update_processes(router);
     if (router.process) {  // it has not ended yet; checks again later
-      schedule_at(scene_.now() + kPollInterval, [this, &router] { restore(router, true); });
+      schedule_at(context_.now() + kPollInterval, [this, &router] { restore(router, true); });
       return;
     }
     ++restarts_;
@@ -344,12 +344,12 @@
       router.process->send_signal(SIGCONT);
       router.process->send_signal(SIGTERM);
     }
-    const Duration limit = scene_.now() + kExitTimeout;
+    const Duration limit = context_.now() + kExitTimeout;
     const auto has_ended = [this] {
       return std::none_of(routers_.begin(), routers_.end(),
                           [](const auto& router) { return router.process || router.replaced_process; });
     };
-    wait_until([&] { return has_ended() || scene_.now() >= limit; }, Duration::max(), "");
+    wait_until([&] { return has_ended() || context_.now() >= limit; }, Duration::max(), "");
     for (auto& router : routers_) {
       if (!router.process) continue;
       // Not recorded as killed, since a process that does not end after SIGTERM breaks a rule.
@@ -361,9 +361,9 @@
 
   /// Runs the event loop until the condition holds. Throws std::runtime_error after the timeout.
   void wait_until(const std::function<bool()>& condition, Duration timeout, const char* error_message) {
-    const Duration from = scene_.now();
+    const Duration from = context_.now();
     while (!condition()) {
-      if (timeout != Duration::max() && scene_.now() - from > timeout)
+      if (timeout != Duration::max() && context_.now() - from > timeout)
         throw std::runtime_error(error_message);
       loop_.io.run_one_for(kPollInterval);
       for (auto& router : routers_) update_processes(router);
@@ -373,7 +373,7 @@
   const FleetOptions& options_;
   net::Loop loop_;
   Instant started_at_;
-  Scene scene_;
+  RunContext context_;
   std::shared_ptr<spdlog::logger> log_;
   History history_;
   Schedule shifted_schedule_;  ///< the schedule with times of the run's clock
@@ -406,7 +406,7 @@
   json.Uint64(nodes);
   json.Key("verdict");
   json.String(verdict.has_passed() ? "held" : verdict.inconclusive_reason.empty() ? "broken" : "void");
-  for (const auto kind : {EventKind::kSetUp, EventKind::kAnswer, EventKind::kRefused, EventKind::kFailed,
+  for (const auto kind : {EventKind::kSetUp, EventKind::kAnswer, EventKind::kRejected, EventKind::kFailed,
                           EventKind::kLost, EventKind::kGaveUp, EventKind::kInvite, EventKind::kKilled,
                           EventKind::kFrozen, EventKind::kDrained}) {
     json.Key(name_of(kind).data());
--- a/lab/fleet/simulation.cpp
+++ b/lab/fleet/simulation.cpp
@@ -29,7 +29,7 @@
 struct AttemptInTransit {
   std::size_t router = 0;
   std::uint64_t start_number = 0;
-  core::AttemptRef ref;
+  core::AttemptId ref;
   std::string id;
 };
 
@@ -37,10 +37,10 @@
 class RouterPorts : public core::UpstreamPool, public core::ClientPort {
  public:
   explicit RouterPorts(Node& node) : node_(node) {}
-  void set_up(const core::SetUp& set_up) override;
-  bool cancel(const core::AttemptRef& attempt) override;
-  void release(const core::AttemptRef& attempt, core::Cause cause) override;
-  void forget(const core::AttemptRef& /*attempt*/) override {}
+  void set_up(const core::OutgoingSetUp& set_up) override;
+  bool cancel(const core::AttemptId& attempt) override;
+  void release(const core::AttemptId& attempt, core::Cause cause) override;
+  void forget_attempt(const core::AttemptId& /*attempt*/) override {}
   void check_health(ServerId server) override;
   void on_endpoint_changed(const core::Endpoint& /*server*/) override {}
   void forget_server(ServerId /*server*/) override {}
@@ -158,7 +158,7 @@
   }
 
   // Actions of the routers.
-  void send_invite(Node& node, const core::SetUp& set_up) {
+  void send_invite(Node& node, const core::OutgoingSetUp& set_up) {
     const auto server = static_cast<std::size_t>(set_up.attempt.server);
     const AttemptInTransit attempt{node.index, node.start_count, set_up.attempt, std::string(set_up.id)};
     const bool is_sent =
@@ -171,7 +171,7 @@
         });
       });
   }
-  void send_end(Node& node, const core::AttemptRef& ref, bool cancelled) {
+  void send_end(Node& node, const core::AttemptId& ref, bool cancelled) {
     const auto found = node.instance->ids.find(ref.call);
     if (found == node.instance->ids.end()) return;
     const auto server = static_cast<std::size_t>(ref.server);
@@ -179,7 +179,7 @@
     send_to_server(attempt, server,
                    [this, attempt, server, cancelled] { on_end(attempt, server, cancelled); });
   }
-  void send_probe(Node& node, ServerId id) {
+  void send_health_check(Node& node, ServerId id) {
     const auto server = static_cast<std::size_t>(id);
     const AttemptInTransit attempt{node.index, node.start_count, {}, ""};
     const Duration from = now_;
@@ -328,12 +328,13 @@
     node.instance =
         std::make_unique<RouterInstance>(node, settings_, instant(), [this] { return instant(); });
     auto& instance = *node.instance;
-    std::vector<core::ServerFacts> facts;
+    std::vector<core::ServerDescription> facts;
     for (const auto& server : servers_) {
-      auto& listed = instance.servers.of(server.name);  // in order, so that the id of a server is its index
-      listed.port = &instance.ports;
+      auto& listed =
+          instance.servers.find_or_create(server.name);  // in order, so that the id of a server is its index
+      listed.upstream_pool = &instance.ports;
       listed.state = server.state;
-      facts.push_back({listed.id, PoolId{0}, server.state, std::nullopt, core::kNotKnown});
+      facts.push_back({listed.id, PoolId{0}, server.state, std::nullopt, core::kUnknownVersion});
     }
     instance.table.on_endpoints_changed(true, facts);
     record(node.name, EventKind::kReady);
@@ -394,7 +395,8 @@
         run_in_router({node.index, node.start_count, {}, ""}, [i, state](RouterInstance& instance) {
           const ServerId id{static_cast<std::uint32_t>(i)};
           instance.servers.find(id)->state = state;
-          instance.table.on_endpoints_changed(false, {{id, PoolId{0}, state, std::nullopt, core::kNotKnown}});
+          instance.table.on_endpoints_changed(false,
+                                              {{id, PoolId{0}, state, std::nullopt, core::kUnknownVersion}});
         });
       }
     }
@@ -425,13 +427,13 @@
     const Instant expires = instant() + options_.caller_timeout;
     node.pending[id] = CallId{};
     run_in_router({node.index, node.start_count, {}, id}, [&node, id, expires](RouterInstance& instance) {
-      core::NewSetUp set_up;
+      core::SetUpRequest set_up;
       set_up.id = id;
       set_up.call_class = "till";
       set_up.number = id;
-      set_up.facts.expires = expires;
-      set_up.facts.first_choice = PoolId{0};
-      const CallId call = instance.table.admit(instance.ports, std::move(set_up));
+      set_up.request.expires = expires;
+      set_up.request.preferred_pool = PoolId{0};
+      const CallId call = instance.table.add_call(instance.ports, std::move(set_up));
       instance.ids[call] = id;
       node.pending[id] = call;
       instance.table.route(call);
@@ -541,25 +543,25 @@
   std::unordered_map<std::size_t, Direction> directions_;
 };
 
-void RouterPorts::set_up(const core::SetUp& set_up) {
+void RouterPorts::set_up(const core::OutgoingSetUp& set_up) {
   node_.simulation.send_invite(node_, set_up);
 }
-bool RouterPorts::cancel(const core::AttemptRef& attempt) {
+bool RouterPorts::cancel(const core::AttemptId& attempt) {
   node_.simulation.send_end(node_, attempt, true);
   return false;
 }
-void RouterPorts::release(const core::AttemptRef& attempt, core::Cause /*cause*/) {
+void RouterPorts::release(const core::AttemptId& attempt, core::Cause /*cause*/) {
   node_.simulation.send_end(node_, attempt, false);
 }
 void RouterPorts::check_health(ServerId server) {
-  node_.simulation.send_probe(node_, server);
+  node_.simulation.send_health_check(node_, server);
 }
 bool RouterPorts::answer(CallId call, std::string_view description) {
   node_.simulation.report_to_caller(node_, call, EventKind::kAnswer, 0, std::string(description));
   return true;
 }
 void RouterPorts::reject(CallId call, core::Reason /*reason*/, Duration retry_after) {
-  node_.simulation.report_to_caller(node_, call, EventKind::kRefused,
+  node_.simulation.report_to_caller(node_, call, EventKind::kRejected,
                                     std::chrono::duration_cast<milliseconds>(retry_after).count());
 }
 void RouterPorts::fail(CallId call, core::Reason /*reason*/) {
--- a/lab/fleet/stand_ins.cpp
+++ b/lab/fleet/stand_ins.cpp
@@ -49,11 +49,12 @@
 
 // ---- session servers ------------------------------------------------------------------------------------
 
-SipServer::SipServer(net::Loop& loop, Scene& scene, std::string name, ServerTraits traits, std::uint64_t seed)
-    : loop_(loop), scene_(scene), name_(std::move(name)), traits_(traits), random_(seed, name_) {}
+SipServer::SipServer(net::Loop& loop, RunContext& context, std::string name, ServerTraits traits,
+                     std::uint64_t seed)
+    : loop_(loop), context_(context), name_(std::move(name)), traits_(traits), random_(seed, name_) {}
 
 SipServer::~SipServer() {
-  for (auto& [id, call] : calls_) loop_.wheel.cancel(call.timer);
+  for (auto& [id, call] : calls_) loop_.timers.cancel(call.timer);
   for (auto& [key, connection] : connections_) connection.stream->close();
 }
 
@@ -70,10 +71,10 @@
         if (!error) {
           auto stream = std::make_shared<net::TcpConnection>(loop_, *this);
           connections_[stream.get()] = {stream, router};
-          stream->adopt(std::move(socket));
+          stream->start_accepted(std::move(socket));
           // Releases that the router has not confirmed are sent again on its next connection (PROTOCOL).
           std::erase_if(unconfirmed_releases_, [this](const Release& release) {
-            return scene_.now() - release.since > kReleaseRetention;
+            return context_.now() - release.since > kReleaseRetention;
           });
           for (const auto& release : unconfirmed_releases_) {
             if (release.router == router) send_release(release, stream);
@@ -94,15 +95,16 @@
 
 void SipServer::record(EventKind kind, const std::string& call, const std::string& router,
                        std::int64_t number, std::string text) {
-  scene_.note({scene_.now(), name_, kind, call, router, number, std::move(text)});
+  context_.record_event({context_.now(), name_, kind, call, router, number, std::move(text)});
 }
 
 std::size_t SipServer::on_bytes(net::TcpConnection& stream, std::span<char> bytes) {
   std::size_t consumed = 0;
   while (consumed < bytes.size()) {
-    const auto message = sip::read_sip({bytes.data() + consumed, bytes.size() - consumed}, net::kMaxMessage);
-    if (message.state == sip::SipRead::State::kMore) break;
-    if (message.state == sip::SipRead::State::kBad) {
+    const auto message =
+        sip::parse_sip_message({bytes.data() + consumed, bytes.size() - consumed}, net::kMaxMessageBytes);
+    if (message.state == sip::SipParseResult::State::kIncomplete) break;
+    if (message.state == sip::SipParseResult::State::kMalformed) {
       stream.fail(net::CloseReason::kReset);
       return bytes.size();
     }
@@ -118,33 +120,33 @@
   return consumed;
 }
 
-void SipServer::on_request(net::TcpConnection& stream, const sip::SipRead& message) {
+void SipServer::on_request(net::TcpConnection& stream, const sip::SipParseResult& message) {
   const auto& head = message.head;
   const std::string id(head.call_id);
   if (head.method == "INVITE") {
     on_invite(stream, message);
   } else if (head.method == "OPTIONS") {
-    stream.send(sip::ok_head(head));
+    stream.send(sip::ok_response_head(head));
   } else if (head.method == "CANCEL") {
-    stream.send(sip::ok_head(head));
+    stream.send(sip::ok_response_head(head));
     const auto found = calls_.find(id);
     // The answer crossed the CANCEL, so the router acknowledges the answer and releases the call.
     if (found == calls_.end() || !found->second.description.empty()) return;
     record(EventKind::kCancelled, id, found->second.router);
-    loop_.wheel.cancel(found->second.timer);
+    loop_.timers.cancel(found->second.timer);
     calls_.erase(found);
     --set_ups_in_progress_;
   } else if (head.method == "BYE") {
-    stream.send(sip::ok_head(head));
+    stream.send(sip::ok_response_head(head));
     const auto found = calls_.find(id);
     if (found == calls_.end() || found->second.description.empty()) return;
     record(EventKind::kEnded, id, found->second.router);
-    loop_.wheel.cancel(found->second.timer);
+    loop_.timers.cancel(found->second.timer);
     calls_.erase(found);
   }
 }
 
-void SipServer::on_invite(net::TcpConnection& stream, const sip::SipRead& message) {
+void SipServer::on_invite(net::TcpConnection& stream, const sip::SipParseResult& message) {
   const auto& head = message.head;
   const std::string id(head.call_id);
   const auto router = router_name(head.via);
@@ -163,14 +165,14 @@
   call.cseq = cseq;
   call.via = via;
   if (random_.chance(traits_.unanswered_share)) return;
-  call.timer = loop_.after(random_duration(traits_.mean_answer_time), [this, id] { answer(id); });
+  call.timer = loop_.run_after(random_duration(traits_.mean_answer_time), [this, id] { answer(id); });
 }
 
 void SipServer::answer(const std::string& id) {
   auto& call = calls_.at(id);
   call.description = name_ + "-" + std::to_string(++answer_count_) + "\r\nc=IN IP4 127.0.0.1\r\n";
   --set_ups_in_progress_;
-  call.timer = loop_.after(random_duration(traits_.mean_call_time), [this, id] { hang_up(id); });
+  call.timer = loop_.run_after(random_duration(traits_.mean_call_time), [this, id] { hang_up(id); });
   const auto found = connections_.find(call.connection.lock().get());
   if (found == connections_.end()) return;
   record(EventKind::kAnswered, id, call.router, 0, call.description);
@@ -185,7 +187,7 @@
       {id, call.router,
        "BYE sip:router@net SIP/2.0\r\nVia: SIP/2.0/TCP " + name_ + "\r\nCall-ID: " + id +
            "\r\nCSeq: 2 BYE\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n",
-       scene_.now()});
+       context_.now()});
   send_release(unconfirmed_releases_.back(), call.connection.lock());
 }
 
@@ -198,7 +200,7 @@
     }
     // Set-ups in progress on a connection end when it closes (PROTOCOL); established calls continue.
     record(EventKind::kBroken, it->first, call.router);
-    loop_.wheel.cancel(call.timer);
+    loop_.timers.cancel(call.timer);
     --set_ups_in_progress_;
     it = calls_.erase(it);
   }
@@ -207,10 +209,10 @@
 
 // ---- callers --------------------------------------------------------------------------------------------
 
-Callers::Callers(net::Loop& loop, Scene& scene, std::string name, std::string router,
+Callers::Callers(net::Loop& loop, RunContext& context, std::string name, std::string router,
                  asio::ip::tcp::endpoint to, double calls_per_s, Duration caller_timeout, std::uint64_t seed)
     : loop_(loop),
-      scene_(scene),
+      context_(context),
       name_(std::move(name)),
       router_(std::move(router)),
       to_(std::move(to)),
@@ -221,14 +223,14 @@
 }
 
 Callers::~Callers() {
-  for (auto& [id, set_up] : pending_) loop_.wheel.cancel(set_up.timer);
-  loop_.wheel.cancel(next_call_timer_);
-  loop_.wheel.cancel(retry_timer_);
+  for (auto& [id, set_up] : pending_) loop_.timers.cancel(set_up.timer);
+  loop_.timers.cancel(next_call_timer_);
+  loop_.timers.cancel(retry_timer_);
   if (stream_) stream_->close();
 }
 
 void Callers::record(EventKind kind, const std::string& call, std::int64_t number, std::string text) {
-  scene_.note({scene_.now(), name_, kind, call, router_, number, std::move(text)});
+  context_.record_event({context_.now(), name_, kind, call, router_, number, std::move(text)});
 }
 
 void Callers::connect() {
@@ -255,17 +257,17 @@
 }
 
 void Callers::call() {
-  if (scene_.now() >= end_) return;
+  if (context_.now() >= end_) return;
   // Callers are independent of each other, so the gaps between calls are exponentially distributed.
   const double gap = -std::log(1.0 - random_.uniform()) / calls_per_s_;
-  next_call_timer_ = loop_.after(Duration{static_cast<std::int64_t>(gap * 1e6)}, [this] { call(); });
+  next_call_timer_ = loop_.run_after(Duration{static_cast<std::int64_t>(gap * 1e6)}, [this] { call(); });
   if (!is_open_) return;
   const auto id = random_.call_id();
   const auto timeout_ms = std::chrono::duration_cast<milliseconds>(caller_timeout_).count();
   record(EventKind::kSetUp, id, timeout_ms);
   auto& set_up = pending_[id];
-  set_up.timer = loop_.after(caller_timeout_, [this, id] { give_up(id); });
-  set_up.sent_at = scene_.now();
+  set_up.timer = loop_.run_after(caller_timeout_, [this, id] { give_up(id); });
+  set_up.sent_at = context_.now();
   set_up.line = "{\"msg\":\"open\",\"sid\":\"" + id + "\",\"attrs\":{\"class\":\"till\",\"left\":\"" +
                 std::to_string(timeout_ms) + "\",\"tenant\":\"toko\",\"key\":\"" + id +
                 "\",\"extras\":\"dest:0;width:1;via:-1\"},\"text\":\"" + id +
@@ -305,14 +307,14 @@
   if (type == "probed") {
     is_ready_ = code == 1;
     if (!is_ready_) {
-      loop_.wheel.cancel(retry_timer_);
-      retry_timer_ = loop_.after(milliseconds{20}, [this] { request_readiness(); });
+      loop_.timers.cancel(retry_timer_);
+      retry_timer_ = loop_.run_after(milliseconds{20}, [this] { request_readiness(); });
     }
     return;
   }
   if (type == "ready") {
     if (const auto found = pending_.find(id); found != pending_.end()) {
-      loop_.wheel.cancel(found->second.timer);
+      loop_.timers.cancel(found->second.timer);
       pending_.erase(found);
     }
     established_.insert(id);
@@ -326,15 +328,15 @@
   }
   // Also recorded if it is a second answer or comes after the caller gave up; the checker decides on it.
   if (const auto found = pending_.find(id); found != pending_.end()) {
-    loop_.wheel.cancel(found->second.timer);
+    loop_.timers.cancel(found->second.timer);
     pending_.erase(found);
   }
-  const bool is_refused = code == 34 || code == 42 || code == 102;
+  const bool is_rejected = code == 34 || code == 42 || code == 102;
   std::int64_t wait = 0;
   if (document.HasMember("attrs") && document["attrs"].IsObject() && document["attrs"].HasMember("wait")) {
     wait = std::strtoll(document["attrs"]["wait"].GetString(), nullptr, 10);
   }
-  record(is_refused ? EventKind::kRefused : EventKind::kFailed, id, is_refused ? wait : code);
+  record(is_rejected ? EventKind::kRejected : EventKind::kFailed, id, is_rejected ? wait : code);
 }
 
 void Callers::on_closed(net::TcpConnection& stream, net::CloseReason reason) {
@@ -345,18 +347,18 @@
     auto& [id, set_up] = *it;
     // A set-up that was sent at most 50 ms before the router closed the connection is sent again, once, on a
     // new connection (PROTOCOL).
-    if (reason == net::CloseReason::kEnded && !set_up.is_resent &&
-        scene_.now() - set_up.sent_at <= kResendWindow) {
+    if (reason == net::CloseReason::kClosedByPeer && !set_up.is_resent &&
+        context_.now() - set_up.sent_at <= kResendWindow) {
       has_resend = set_up.is_resent = true;
       ++it;
       continue;
     }
-    loop_.wheel.cancel(set_up.timer);
+    loop_.timers.cancel(set_up.timer);
     record(EventKind::kLost, id);
     it = pending_.erase(it);
   }
-  loop_.wheel.cancel(retry_timer_);
-  retry_timer_ = loop_.after(has_resend ? Duration{} : kReconnectDelay, [this] { connect(); });
+  loop_.timers.cancel(retry_timer_);
+  retry_timer_ = loop_.run_after(has_resend ? Duration{} : kReconnectDelay, [this] { connect(); });
 }
 
 // ---- the command channel --------------------------------------------------------------------------------
@@ -368,7 +370,7 @@
 }
 
 CommandChannel::~CommandChannel() {
-  loop_.wheel.cancel(heartbeat_timer_);
+  loop_.timers.cancel(heartbeat_timer_);
   for (auto& [key, stream] : connections_) stream->close();
 }
 
@@ -378,7 +380,7 @@
     if (!error) {
       auto stream = std::make_shared<net::TcpConnection>(loop_, *this);
       connections_[stream.get()] = stream;
-      stream->adopt(std::move(socket));
+      stream->start_accepted(std::move(socket));
     }
     accept();
   });
@@ -404,7 +406,7 @@
 
 void CommandChannel::send_heartbeat() {
   for (auto& [key, stream] : subscribers_) stream->send(": beat\n\n");
-  heartbeat_timer_ = loop_.after(std::chrono::seconds{1}, [this] { send_heartbeat(); });
+  heartbeat_timer_ = loop_.run_after(std::chrono::seconds{1}, [this] { send_heartbeat(); });
 }
 
 std::size_t CommandChannel::on_bytes(net::TcpConnection& stream, std::span<char> bytes) {
--- a/lab/fleet/stand_ins.hpp
+++ b/lab/fleet/stand_ins.hpp
@@ -29,9 +29,9 @@
 };
 
 /// A session server over SIP.
-class SipServer : public net::TcpConnection::Owner {
+class SipServer : public net::TcpConnection::EventHandler {
  public:
-  SipServer(net::Loop& loop, Scene& scene, std::string name, ServerTraits traits, std::uint64_t seed);
+  SipServer(net::Loop& loop, RunContext& context, std::string name, ServerTraits traits, std::uint64_t seed);
   ~SipServer() override;
   /// Opens a listening address for one router, which identifies the router's connections, and returns it.
   asio::ip::tcp::endpoint listen_for(const std::string& router);
@@ -61,8 +61,8 @@
   void send_release(const Release& release, const std::shared_ptr<net::TcpConnection>& preferred);
   std::size_t on_bytes(net::TcpConnection& stream, std::span<char> bytes) override;
   void on_closed(net::TcpConnection& stream, net::CloseReason reason) override;
-  void on_request(net::TcpConnection& stream, const sip::SipRead& message);
-  void on_invite(net::TcpConnection& stream, const sip::SipRead& message);
+  void on_request(net::TcpConnection& stream, const sip::SipParseResult& message);
+  void on_invite(net::TcpConnection& stream, const sip::SipParseResult& message);
   void answer(const std::string& id);
   void hang_up(const std::string& id);
   void record(EventKind kind, const std::string& call, const std::string& router, std::int64_t number = 0,
@@ -73,7 +73,7 @@
   }
 
   net::Loop& loop_;
-  Scene& scene_;
+  RunContext& context_;
   std::string name_;
   ServerTraits traits_;
   Random random_;
@@ -86,10 +86,10 @@
 };
 
 /// The callers of one router. They share one connection, which is opened again after it closes.
-class Callers : public net::TcpConnection::Owner {
+class Callers : public net::TcpConnection::EventHandler {
  public:
-  Callers(net::Loop& loop, Scene& scene, std::string name, std::string router, asio::ip::tcp::endpoint to,
-          double calls_per_s, Duration caller_timeout, std::uint64_t seed);
+  Callers(net::Loop& loop, RunContext& context, std::string name, std::string router,
+          asio::ip::tcp::endpoint to, double calls_per_s, Duration caller_timeout, std::uint64_t seed);
   ~Callers() override;
   /// Makes calls until `end`, the first at once.
   void call_until(Duration end);
@@ -109,7 +109,7 @@
   void record(EventKind kind, const std::string& call, std::int64_t number = 0, std::string text = {});
 
   net::Loop& loop_;
-  Scene& scene_;
+  RunContext& context_;
   std::string name_, router_;
   asio::ip::tcp::endpoint to_;
   double calls_per_s_;
@@ -129,7 +129,7 @@
 };
 
 /// The command channel of one router. It sends all past events to a new subscriber, then each new event.
-class CommandChannel : public net::TcpConnection::Owner {
+class CommandChannel : public net::TcpConnection::EventHandler {
  public:
   CommandChannel(net::Loop& loop, std::string first_event);
   ~CommandChannel() override;
--- a/lab/http2_server.cpp
+++ b/lab/http2_server.cpp
@@ -102,7 +102,7 @@
   session_.reset(session);
   nghttp2_option_del(option);
   nghttp2_session_callbacks_del(callbacks);
-  tcp_->adopt(std::move(socket));
+  tcp_->start_accepted(std::move(socket));
 }
 
 void Http2Server::Peer::on_open(net::TcpConnection& /*tcp*/) {
--- a/lab/http2_server.hpp
+++ b/lab/http2_server.hpp
@@ -26,7 +26,7 @@
   };
 
   /// The server's side of one accepted connection.
-  class Peer : public net::TcpConnection::Owner {
+  class Peer : public net::TcpConnection::EventHandler {
    public:
     struct Request {
       std::string method, path, body;
@@ -95,7 +95,7 @@
   std::function<void(Peer& peer, std::int32_t stream_id, Peer::Request& request)> on_reset;
 
   [[nodiscard]] asio::ip::tcp::endpoint endpoint() const { return {address_, port_}; }
-  [[nodiscard]] std::string address() const { return net::text_of(endpoint()); }
+  [[nodiscard]] std::string address() const { return net::to_text(endpoint()); }
   /// Simulates a crash of the process: stops listening and resets every connection.
   void crash();
   /// Listens again at the same address, as a new process would.
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -98,7 +98,7 @@
                          [kind](const auto& event) { return event.kind == kind; });
   };
   std::cout << count(EventKind::kSetUp) << " calls: " << count(EventKind::kAnswer) << " answered, "
-            << count(EventKind::kRefused) << " refused, " << count(EventKind::kFailed) << " failed, "
+            << count(EventKind::kRejected) << " refused, " << count(EventKind::kFailed) << " failed, "
             << count(EventKind::kLost) << " lost; " << count(EventKind::kReleased) << " released"
             << std::endl;
   if (!result.verdict.has_passed()) {
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -22,7 +22,7 @@
 
 AdminServer::~AdminServer() {
   for (auto& [key, connection] : connections_) {
-    loop_.wheel.cancel(connection.command_timer);
+    loop_.timers.cancel(connection.command_timer);
     connection.stream->close();
   }
 }
@@ -43,7 +43,7 @@
 
 void AdminServer::on_accept_failed(const asio::error_code& error) {
   net::log::warn("admin: accept failed, will retry: ", error.message());
-  loop_.after(kAcceptRetryDelay, [this] { accept(); });
+  loop_.run_after(kAcceptRetryDelay, [this] { accept(); });
 }
 
 void AdminServer::close_oldest() {
@@ -62,8 +62,8 @@
   auto& connection = connections_[key];
   connection.stream = stream;
   connection.accepted_at = net::Loop::now();
-  connection.command_timer = loop_.after(kCommandTimeout, [this, key] { on_command_timeout(key); });
-  stream->adopt(std::move(socket));
+  connection.command_timer = loop_.run_after(kCommandTimeout, [this, key] { on_command_timeout(key); });
+  stream->start_accepted(std::move(socket));
 }
 
 void AdminServer::on_command_timeout(net::TcpConnection* stream) {
@@ -102,7 +102,7 @@
   if (found == connections_.end()) return std::nullopt;
   auto connection = std::move(found->second);
   connections_.erase(found);
-  loop_.wheel.cancel(connection.command_timer);
+  loop_.timers.cancel(connection.command_timer);
   return connection;
 }
 
@@ -113,7 +113,7 @@
 void AdminServer::finish(net::TcpConnection* stream) {
   auto connection = remove(stream);
   if (!connection) return;
-  connection->stream->finish();
+  connection->stream->close_after_flush();
   finishing_.push_back(std::move(connection->stream));
 }
 
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -21,7 +21,7 @@
 /// Serves admin commands on a separate address. It shares no queue with calls. An idle client does not block
 /// others, since the number of connections is limited and each has a deadline. An error on a connection
 /// closes that connection; a failed accept is logged and retried. Used on the event loop's thread only.
-class AdminServer : public net::TcpConnection::Owner {
+class AdminServer : public net::TcpConnection::EventHandler {
  public:
   /// Executes a command and returns the reply without its last line feed. Called on the event loop's thread.
   using CommandHandler = std::function<std::string(Command)>;
--- a/src/app/config.cpp
+++ b/src/app/config.cpp
@@ -24,7 +24,7 @@
   const auto scalar = [](const rapidjson::Value& item) {
     return item.IsTrue()    ? std::string("true")
            : item.IsFalse() ? "false"
-                            : std::string(settings::text_of(item));
+                            : std::string(settings::string_value(item));
   };
   if (!value.IsArray()) {
     out += path + "=" + scalar(value) + "\n";
@@ -49,13 +49,13 @@
 
 /// Throws ConfigError if the member is missing.
 const rapidjson::Value& required_member(const rapidjson::Value& object, const char* name) {
-  const auto* value = settings::member(object, name);
+  const auto* value = settings::find_member(object, name);
   if (value == nullptr) throw ConfigError(std::string("config: missing required field ") + name);
   return *value;
 }
 
 asio::ip::tcp::endpoint parse_tcp_endpoint(std::string_view text, const char* field) {
-  const auto parsed = net::read_endpoint(text);
+  const auto parsed = net::parse_endpoint(text);
   if (!parsed) throw ConfigError(std::string("config: expected an IP address and a port in ") + field);
   return *parsed;
 }
@@ -68,16 +68,16 @@
 /// The `name` of each entry of a list in the settings. Throws ConfigError if one is missing or occurs twice.
 std::vector<std::string> read_names(const rapidjson::Value& settings, const char* list) {
   std::vector<std::string> names;
-  if (const auto* items = settings::member(settings, list); items != nullptr && items->IsArray()) {
+  if (const auto* items = settings::find_member(settings, list); items != nullptr && items->IsArray()) {
     for (const auto& item : items->GetArray()) {
       const auto key =
           std::string("config: settings: ") + list + "." + std::to_string(names.size()) + ".name";
-      const auto name = settings::text_in(item, "name");
+      const auto name = settings::member_string(item, "name");
       // Callers refer to classes and tenants by name: with a duplicate, one entry would get the settings of
       // the other.
       if (name.empty()) throw ConfigError(key + " is missing");
       if (std::find(names.begin(), names.end(), name) != names.end())
-        throw ConfigError(key + " is there twice");
+        throw ConfigError(key + " is a duplicate");
       names.emplace_back(name);
     }
   }
@@ -87,55 +87,56 @@
 }  // namespace
 
 Config read_config(std::string json, std::string_view name, std::string_view listen,
-                   std::string_view control) {
+                   std::string_view admin_listen) {
   rapidjson::Document document;
   if (!settings::parse_in_place(json, document) || !document.IsObject())
     throw ConfigError("config: not a JSON object");
   Config config;
-  config.name = name.empty() ? settings::text_in(document, "name") : name;
+  config.name = name.empty() ? settings::member_string(document, "name") : name;
   config.listen =
-      parse_tcp_endpoint(listen.empty() ? settings::text_in(document, "listen") : listen, "listen");
-  if (!control.empty()) {
-    config.control = parse_tcp_endpoint(control, "control");
-  } else if (const auto* admin_address = settings::member(document, "control")) {
-    config.control = parse_tcp_endpoint(settings::text_of(*admin_address), "control");
+      parse_tcp_endpoint(listen.empty() ? settings::member_string(document, "listen") : listen, "listen");
+  if (!admin_listen.empty()) {
+    config.admin_listen = parse_tcp_endpoint(admin_listen, "control");
+  } else if (const auto* admin_address = settings::find_member(document, "control")) {
+    config.admin_listen = parse_tcp_endpoint(settings::string_value(*admin_address), "control");
   }
-  const auto seed = settings::text_of(required_member(document, "seed"));
+  const auto seed = settings::string_value(required_member(document, "seed"));
   const auto [end, parse_error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (seed.empty() || parse_error != std::errc{} || end != seed.data() + seed.size()) {
     throw ConfigError("config: seed is not a 64-bit hexadecimal number");
   }
-  if (const auto* limits = settings::member(document, "limits")) {
-    const auto sockets = settings::number_of(settings::text_in(*limits, "sockets"));
+  if (const auto* limits = settings::find_member(document, "limits")) {
+    const auto sockets = settings::parse_number(settings::member_string(*limits, "sockets"));
     if (!sockets || *sockets < 32 || *sockets > 1e7)
       throw ConfigError("config: limits.sockets is not a number from 32 to 10,000,000");
-    config.sockets = static_cast<std::size_t>(*sockets);
-    const auto memory = settings::number_of(settings::text_in(*limits, "memory_mb"));
+    config.max_sockets = static_cast<std::size_t>(*sockets);
+    const auto memory = settings::parse_number(settings::member_string(*limits, "memory_mb"));
     if (!memory || *memory < 16 || *memory > 1e6)
       throw ConfigError("config: limits.memory_mb is not a number from 16 to 1,000,000");
-    config.memory_mb = static_cast<std::size_t>(*memory);
+    config.max_memory_mb = static_cast<std::size_t>(*memory);
   }
-  config.channel = parse_tcp_endpoint(settings::text_of(required_member(document, "channel")), "channel");
-  if (const auto* peer_listen = settings::member(document, "peer_listen")) {
-    config.peer_listen = parse_udp_endpoint(settings::text_of(*peer_listen), "peer_listen");
+  config.command_channel =
+      parse_tcp_endpoint(settings::string_value(required_member(document, "channel")), "channel");
+  if (const auto* peer_listen = settings::find_member(document, "peer_listen")) {
+    config.peer_listen = parse_udp_endpoint(settings::string_value(*peer_listen), "peer_listen");
   }
-  if (const auto* broadcast_address = settings::member(document, "peers_all")) {
-    config.peers_all = parse_udp_endpoint(settings::text_of(*broadcast_address), "peers_all");
+  if (const auto* broadcast_address = settings::find_member(document, "peers_all")) {
+    config.all_peers_address = parse_udp_endpoint(settings::string_value(*broadcast_address), "peers_all");
   }
-  if (const auto* peers = settings::member(document, "peers"); peers != nullptr && peers->IsArray()) {
+  if (const auto* peers = settings::find_member(document, "peers"); peers != nullptr && peers->IsArray()) {
     for (const auto& peer : peers->GetArray())
-      config.peers.push_back(parse_udp_endpoint(settings::text_of(peer), "peers"));
+      config.peers.push_back(parse_udp_endpoint(settings::string_value(peer), "peers"));
   }
   const auto& known = required_member(document, "known");
-  const auto cursor = settings::number_of(settings::text_in(known, "cursor"));
+  const auto cursor = settings::parse_number(settings::member_string(known, "cursor"));
   if (!cursor || *cursor < 0) throw ConfigError("config: known.cursor is not a non-negative number");
-  config.cursor = static_cast<std::uint64_t>(*cursor);
+  config.last_event_id = static_cast<std::uint64_t>(*cursor);
   const auto& events = required_member(known, "cmds");
   if (!events.IsArray()) throw ConfigError("config: known.cmds is not an array");
   for (const auto& event : events.GetArray()) {
     auto update = discovery::parse_endpoint_update(event);
     if (!update) throw ConfigError("config: known.cmds holds an event that is not a valid endpoint update");
-    config.known.push_back(std::move(*update));
+    config.known_updates.push_back(std::move(*update));
   }
   const auto& settings = required_member(document, "settings");
   std::string pairs;
@@ -147,21 +148,22 @@
   }
   config.settings_text = std::move(pairs);
   config.names = {read_names(settings, "classes"), read_names(settings, "tenants"), {}};
-  if (const auto* family = settings::member(settings, "family_info")) {
-    if (const auto* widths = settings::member(*family, "channels_needed");
+  if (const auto* family = settings::find_member(settings, "family_info")) {
+    if (const auto* widths = settings::find_member(*family, "channels_needed");
         widths != nullptr && widths->IsArray()) {
       for (const auto& width : widths->GetArray()) {
-        config.names.widths.push_back(settings::number_of(settings::text_of(width)).value_or(1.0));
+        config.names.max_widths.push_back(
+            settings::parse_number(settings::string_value(width)).value_or(1.0));
       }
     }
   }
-  const auto* limits = settings::member(settings, "limits");
-  const auto connect_timeout_us = limits != nullptr
-                                      ? settings::number_of(settings::text_in(*limits, "connect_timeout_us"))
-                                      : std::nullopt;
+  const auto* limits = settings::find_member(settings, "limits");
+  const auto connect_timeout_us =
+      limits != nullptr ? settings::parse_number(settings::member_string(*limits, "connect_timeout_us"))
+                        : std::nullopt;
   if (!connect_timeout_us || *connect_timeout_us <= 0)
     throw ConfigError("config: settings: limits.connect_timeout_us is not a positive number");
-  config.connect_limit = Duration{static_cast<std::int64_t>(*connect_timeout_us)};
+  config.connect_timeout = Duration{static_cast<std::int64_t>(*connect_timeout_us)};
   return config;
 }
 
--- a/src/app/config.hpp
+++ b/src/app/config.hpp
@@ -26,26 +26,27 @@
   std::string name;                ///< of this router
   asio::ip::tcp::endpoint listen;  ///< for callers over JSON lines
   std::optional<asio::ip::tcp::endpoint>
-      control;                      ///< the admin server's address; it is not started without one
-  std::uint64_t seed = 0;           ///< of the random numbers
-  std::size_t sockets = 1024;       ///< limit on open sockets
-  std::size_t memory_mb = 64;       ///< limit on memory, in MB
-  asio::ip::tcp::endpoint channel;  ///< the command channel, an HTTP server
-  std::optional<asio::ip::udp::endpoint> peer_listen;  ///< for gossip of the other routers
-  std::vector<asio::ip::udp::endpoint> peers;          ///< the other routers of the fleet
-  std::optional<asio::ip::udp::endpoint> peers_all;    ///< reaches all peers at once
-  std::uint64_t cursor = 0;  ///< number of the last command channel event that `known` includes
-  std::vector<discovery::EndpointUpdate> known;  ///< the endpoint list at the start
+      admin_listen;                         ///< the admin server's address; it is not started without one
+  std::uint64_t seed = 0;                   ///< of the random numbers
+  std::size_t max_sockets = 1024;           ///< limit on open sockets
+  std::size_t max_memory_mb = 64;           ///< limit on memory, in MB
+  asio::ip::tcp::endpoint command_channel;  ///< the command channel, an HTTP server
+  std::optional<asio::ip::udp::endpoint> peer_listen;        ///< for gossip of the other routers
+  std::vector<asio::ip::udp::endpoint> peers;                ///< the other routers of the fleet
+  std::optional<asio::ip::udp::endpoint> all_peers_address;  ///< reaches all peers at once
+  std::uint64_t last_event_id =
+      0;  ///< number of the last command channel event that `known_updates` includes
+  std::vector<discovery::EndpointUpdate> known_updates;  ///< the endpoint list at the start
   Settings settings;
-  std::string settings_text;  ///< as path=value lines; a reload compares them to detect changes
-  core::Names names;          ///< of classes and tenants
-  Duration connect_limit{};   ///< timeout for connecting to a server
+  std::string settings_text;    ///< as path=value lines; a reload compares them to detect changes
+  core::ConfiguredNames names;  ///< of classes and tenants
+  Duration connect_timeout{};   ///< timeout for connecting to a server
 };
 
-/// Parses and checks a configuration file. `name`, `listen` and `control` come from the environment and
+/// Parses and checks a configuration file. `name`, `listen` and `admin_listen` come from the environment and
 /// override the file unless they are empty. Throws ConfigError.
 Config read_config(std::string json, std::string_view name, std::string_view listen,
-                   std::string_view control = {});
+                   std::string_view admin_listen = {});
 
 /// Returns the content of a file. Throws ConfigError if it cannot be read.
 std::string read_file(const std::string& path);
--- a/src/app/endpoint_updates.cpp
+++ b/src/app/endpoint_updates.cpp
@@ -36,32 +36,32 @@
 }  // namespace
 
 void EndpointUpdates::apply(const discovery::EndpointUpdate& update) {
-  if (!update.has_servers) return;
+  if (!update.has_endpoint_list) return;
   const auto changes = changes_of(update);
   AffectedServers affected;
-  std::vector<core::ServerFacts> facts;
-  for (const auto& change : changes) facts.push_back(facts_of(apply_change(change, affected)));
-  context_.table.on_endpoints_changed(update.whole_list, facts);
+  std::vector<core::ServerDescription> facts;
+  for (const auto& change : changes) facts.push_back(description_of(apply_change(change, affected)));
+  context_.table.on_endpoints_changed(update.is_full_list, facts);
   // The decision module is told of a drain before the pools withdraw set-ups: withdrawn set-ups are placed
   // again at once and must not go to the draining server.
   for (const auto& change : changes) {
     if (change.state == EndpointState::kReady) continue;
-    const auto& server = context_.servers.of(change.name);
-    server.port->on_endpoint_changed(server);
+    const auto& server = context_.servers.find_or_create(change.name);
+    server.upstream_pool->on_endpoint_changed(server);
   }
   // The calls of a process that has ended are lost, and their callers may still need a release. This comes
   // last, when the decision module knows the whole update: each call that ends lets it place queued calls,
   // and those must not go to a removed server.
   for (const auto id : affected.removed)
-    context_.table.abort_all(id, "server removed from the endpoint list");
+    context_.table.abort_calls_at(id, "server removed from the endpoint list");
   for (const auto& [id, started] : affected.restarted) {
-    context_.table.abort_sent_before(id, started, "server restarted");
+    context_.table.abort_calls_sent_before(id, started, "server restarted");
   }
 }
 
 std::vector<core::EndpointChange> EndpointUpdates::changes_of(const discovery::EndpointUpdate& update) const {
   auto changes = update.changes;
-  if (!update.whole_list) return changes;
+  if (!update.is_full_list) return changes;
   std::set<std::string> listed;
   for (const auto& change : changes) listed.insert(change.name);
   for (const auto& [id, server] : context_.servers.all()) {
@@ -77,8 +77,8 @@
 
 const core::Endpoint& EndpointUpdates::apply_change(const core::EndpointChange& change,
                                                     AffectedServers& affected) {
-  auto& server = context_.servers.of(change.name);
-  const bool is_known = server.port != nullptr;
+  auto& server = context_.servers.find_or_create(change.name);
+  const bool is_known = server.upstream_pool != nullptr;
   const bool is_removed_now = change.state == EndpointState::kRemoved;
   if (is_removed_now && server.state != EndpointState::kRemoved) affected.removed.push_back(server.id);
   server.address = change.address;
@@ -101,7 +101,7 @@
                  is_restarted ? ", restarted" : "");
   if (is_restarted) affected.restarted.emplace_back(server.id, *server.started);
   // Connections to a new server are opened before the decision module sends it set-ups.
-  if (server.state == EndpointState::kReady) server.port->on_endpoint_changed(server);
+  if (server.state == EndpointState::kReady) server.upstream_pool->on_endpoint_changed(server);
   return server;
 }
 
@@ -109,25 +109,27 @@
   const auto kinds = upstream_pool_kinds();
   for (std::size_t i = 0; i < kinds.size(); ++i) {
     if (!pools_[i] || !kinds[i].is_protocol_of(context_.operator_file, server.name)) continue;
-    server.port = pools_[i].get();
+    server.upstream_pool = pools_[i].get();
     if (!context_.translator) return;
     const auto dialect = kinds[i].dialect;
-    server.version =
-        dialect.empty() ? core::kNotKnown : context_.translator->server_no(dialect).value_or(core::kNotKnown);
+    server.version = dialect.empty()
+                         ? core::kUnknownVersion
+                         : context_.translator->server_dialect_index(dialect).value_or(core::kUnknownVersion);
     return;
   }
 }
 
-core::ServerFacts EndpointUpdates::facts_of(const core::Endpoint& server) {
-  core::ServerFacts facts{.server = server.id,
-                          .pool = server.pool,
-                          .state = server.state,
-                          .started = server.started,
-                          .version = server.version};
+core::ServerDescription EndpointUpdates::description_of(const core::Endpoint& server) {
+  core::ServerDescription facts{.server = server.id,
+                                .pool = server.pool,
+                                .state = server.state,
+                                .started = server.started,
+                                .version = server.version};
   // If the pool cannot send new set-ups to a server, for example because a Diameter peer is not up or has not
   // answered a watchdog, attempts in flight may still finish. The decision module sees such a server as
   // draining.
-  const bool is_unavailable = server.state == EndpointState::kReady && !server.port->is_available(server.id);
+  const bool is_unavailable =
+      server.state == EndpointState::kReady && !server.upstream_pool->is_available(server.id);
   if (is_unavailable) facts.state = EndpointState::kDraining;
   return facts;
 }
@@ -135,10 +137,10 @@
 void EndpointUpdates::on_availability_changed(ServerId id, bool is_restarted) {
   auto& server = *context_.servers.find(id);
   if (is_restarted) server.started = net::Loop::now();
-  context_.table.on_endpoints_changed(false, {facts_of(server)});
+  context_.table.on_endpoints_changed(false, {description_of(server)});
 }
 
-void EndpointUpdates::forget_removed(Instant now) {
+void EndpointUpdates::forget_removed_servers(Instant now) {
   std::vector<ServerId> expired;
   for (const auto& [id, server] : context_.servers.all()) {
     const bool is_expired = server.removed_at && now - *server.removed_at > kRemovedRetention;
--- a/src/app/endpoint_updates.hpp
+++ b/src/app/endpoint_updates.hpp
@@ -27,7 +27,7 @@
   /// Handles the report of a pool that a server now accepts calls, no longer accepts calls, or was restarted.
   void on_availability_changed(ServerId id, bool is_restarted);
   /// Deletes the entries of servers whose retention time has passed at `now` and that no call refers to.
-  void forget_removed(Instant now);
+  void forget_removed_servers(Instant now);
 
  private:
   /// Servers whose established calls an update ends.
@@ -42,7 +42,7 @@
   /// Assigns the upstream pool and the protocol version, if the pool has only one, to a new entry.
   void assign_pool(core::Endpoint& server) const;
   /// What the decision module is told about a server.
-  [[nodiscard]] static core::ServerFacts facts_of(const core::Endpoint& server);
+  [[nodiscard]] static core::ServerDescription description_of(const core::Endpoint& server);
 
   const RouterContext& context_;
   const UpstreamPools& pools_;
--- a/src/app/kinds.cpp
+++ b/src/app/kinds.cpp
@@ -24,7 +24,8 @@
   if (!diameter_config || !diameter_config->listen) return nullptr;
   auto frontend = std::make_unique<diameter::Frontend>(
       context.loop, context.table, context.counters, context.identity, context.names, context.settings,
-      *diameter_config->listen, context.resource_limits.diameter, diameter_config->clients, context.tenant_of,
+      *diameter_config->listen, context.resource_limits.max_diameter_connections, diameter_config->clients,
+      context.tenant_of,
       [&servers = context.servers](std::string_view host) -> std::optional<PoolId> {
         const auto* server = servers.find(host);
         return server != nullptr ? std::optional(server->pool) : std::nullopt;
@@ -38,13 +39,13 @@
   if (!context.operator_file.diameter) return nullptr;
   return std::make_unique<diameter::ConnectionPool>(
       context.loop, context.table, context.servers, context.counters, context.identity,
-      context.config.connect_limit, context.on_availability_changed);
+      context.config.connect_timeout, context.on_availability_changed);
 }
 
 std::unique_ptr<core::UpstreamPool> make_sip_pool(RouterContext& context) {
   return std::make_unique<sip::ConnectionPool>(context.loop, context.table, context.servers, context.counters,
                                                context.resource_limits, context.config.name,
-                                               context.config.connect_limit);
+                                               context.config.connect_timeout);
 }
 
 std::unique_ptr<core::UpstreamPool> make_http2_pool(RouterContext& context) {
@@ -52,11 +53,11 @@
   const auto& limits = context.settings.limits;
   return std::make_unique<http2::ConnectionPool>(
       context.loop, context.table, context.servers, context.counters, context.resource_limits,
-      *context.translator, context.config.connect_limit, limits.max_retry_advice,
+      *context.translator, context.config.connect_timeout, limits.max_retry_after,
       [&session_api = *context.operator_file.session_api,
        &translator = *context.translator](const std::string& server) {
         const auto* version = session_api.version_of(server);
-        return version != nullptr ? translator.server_no(*version) : std::nullopt;
+        return version != nullptr ? translator.server_dialect_index(*version) : std::nullopt;
       },
       context.on_availability_changed);
 }
@@ -99,8 +100,8 @@
                   [](const auto& entry) { return entry.second != "session-1"; });
   if (has_version_2) servers.emplace_back("session-2");
   auto translator = std::make_unique<translate::Translator>(clients, servers, operator_file.translate);
-  if (!translator->faults().empty()) {
-    throw ConfigError("operator file: translate: " + translator->faults().front());
+  if (!translator->mapping_errors().empty()) {
+    throw ConfigError("operator file: translate: " + translator->mapping_errors().front());
   }
   return translator;
 }
@@ -111,12 +112,13 @@
     auto& identity = context.identity;
     identity.host = diameter_config->origin_host;
     identity.realm = diameter_config->origin_realm;
-    identity.state_id = static_cast<std::uint32_t>(net::Loop::unix_ms() / 1000);
-    identity.watchdog = diameter_config->watchdog;
-    identity.jitter = std::min<Duration>(identity.jitter, diameter_config->watchdog / 5);
+    identity.origin_state_id = static_cast<std::uint32_t>(net::Loop::unix_ms() / 1000);
+    identity.watchdog_interval = diameter_config->watchdog_interval;
+    identity.watchdog_jitter =
+        std::min<Duration>(identity.watchdog_jitter, diameter_config->watchdog_interval / 5);
     // RFC 6733, section 3: the high 12 bits come from the time, the low 20 bits may have any value.
     identity.next_end_to_end =
-        (identity.state_id << 20U) | (static_cast<std::uint32_t>(context.config.seed) & 0xfffffU);
+        (identity.origin_state_id << 20U) | (static_cast<std::uint32_t>(context.config.seed) & 0xfffffU);
   }
 }
 
--- a/src/app/kinds.hpp
+++ b/src/app/kinds.hpp
@@ -32,7 +32,7 @@
   const Config& config;
   const OperatorFile& operator_file;
   const net::ResourceLimits& resource_limits;
-  const core::Names& names;
+  const core::ConfiguredNames& names;
   const Settings& settings;
   /// Returns the tenant that a User-Name, realm or acquirer belongs to, or the text itself if it is unknown.
   std::function<std::string(std::string_view)> tenant_of;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -39,7 +39,7 @@
   try {
     router.reload(load_configuration());
   } catch (const std::exception& error) {
-    router.reload_failed(error.what());
+    router.on_reload_failed(error.what());
   }
 }
 
@@ -77,7 +77,7 @@
   app::Router router(loop, config, operator_file);
   router.join_hot_restart(environment_variable("TMPDIR"));
   handle_signals(signals, loop, router);
-  net::log::info(config.name, " serves callers at ", router.callers_at());
+  net::log::info(config.name, " serves callers at ", router.callers_endpoint());
   loop.io.run();
   print_counters(router);
   return 0;
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -23,15 +23,16 @@
       : value_(value), path_(std::move(path)) {
     if (!value.IsObject()) throw_field_error(path_, "is not an object");
     for (const auto& item : value.GetObject()) {
-      if (std::find(fields.begin(), fields.end(), settings::text_of(item.name)) == fields.end()) {
-        throw_field_error(path_ + "." + std::string(settings::text_of(item.name)), "is not a known field");
+      if (std::find(fields.begin(), fields.end(), settings::string_value(item.name)) == fields.end()) {
+        throw_field_error(path_ + "." + std::string(settings::string_value(item.name)),
+                          "is not a known field");
       }
     }
   }
 
   /// The member's value, or null if the member is absent.
   [[nodiscard]] const rapidjson::Value* find(const char* name) const {
-    return settings::member(value_, name);
+    return settings::find_member(value_, name);
   }
   /// The member's full name, for error messages.
   [[nodiscard]] std::string field(const char* name) const { return path_ + "." + name; }
@@ -42,7 +43,7 @@
     const auto* value = find(name);
     if (value == nullptr && default_value) return *default_value;
     if (value == nullptr) throw_field_error(field(name), "is missing");
-    const auto text = settings::text_of(*value);
+    const auto text = settings::string_value(*value);
     if (text.empty()) throw_field_error(field(name), "is not a non-empty string");
     return std::string(text);
   }
@@ -51,7 +52,7 @@
   [[nodiscard]] milliseconds duration(const char* name, milliseconds default_value, milliseconds min) const {
     const auto* value = find(name);
     if (value == nullptr) return default_value;
-    const auto ms = settings::number_of(settings::text_of(*value));
+    const auto ms = settings::parse_number(settings::string_value(*value));
     constexpr double kMaxMs = 86'400'000;
     if (!ms || *ms < static_cast<double>(min.count()) || *ms > kMaxMs)
       throw_field_error(field(name), "is not a time in ms within the allowed range");
@@ -65,9 +66,9 @@
     if (value == nullptr) return strings;
     if (!value->IsArray()) throw_field_error(field(name), "is not an array");
     for (const auto& item : value->GetArray()) {
-      if (settings::text_of(item).empty())
+      if (settings::string_value(item).empty())
         throw_field_error(field(name), "holds an element that is not a non-empty string");
-      strings.emplace(settings::text_of(item));
+      strings.emplace(settings::string_value(item));
     }
     return strings;
   }
@@ -85,20 +86,20 @@
   config.origin_host = section.string_value("origin_host");
   config.origin_realm = section.string_value("origin_realm");
   if (section.find("listen") != nullptr) {
-    config.listen = net::read_endpoint(section.string_value("listen"));
+    config.listen = net::parse_endpoint(section.string_value("listen"));
     if (!config.listen) throw_field_error(section.field("listen"), "is not an IP address with a port");
   }
   config.clients = section.string_set("clients");
   config.servers = section.string_set("servers");
   // RFC 3539, section 3.4.1: the watchdog interval must not be below 6 s.
-  config.watchdog = section.duration("watchdog_ms", config.watchdog, milliseconds{6000});
+  config.watchdog_interval = section.duration("watchdog_ms", config.watchdog_interval, milliseconds{6000});
   if (const auto* tenants = section.find("tenants")) {
     if (!tenants->IsObject()) throw_field_error(section.field("tenants"), "is not an object");
     for (const auto& item : tenants->GetObject()) {
-      const auto name = std::string(settings::text_of(item.name));
-      if (settings::text_of(item.value).empty())
+      const auto name = std::string(settings::string_value(item.name));
+      if (settings::string_value(item.value).empty())
         throw_field_error(section.field("tenants") + "." + name, "is not a non-empty string");
-      config.tenants.emplace(name, settings::text_of(item.value));
+      config.tenants.emplace(name, settings::string_value(item.value));
     }
   }
   return config;
@@ -113,14 +114,14 @@
   if (source.url.rfind("ldap://", 0) != 0 && source.url.rfind("ldaps://", 0) != 0) {
     throw_field_error(section.field("url"), "is not an ldap:// or ldaps:// address");
   }
-  source.base = section.string_value("base");
+  source.base_dn = section.string_value("base");
   source.filter = section.string_value("filter", source.filter);
   source.bind_dn = section.string_value("bind_dn", "");
   source.password_file = section.string_value("password_file", "");
   source.key_attribute = section.string_value("key_attribute");
   source.tenant_attribute = section.string_value("tenant_attribute");
-  source.timeout = section.duration("timeout_ms", source.timeout, milliseconds{100});
-  source.refresh = section.duration("refresh_ms", source.refresh, milliseconds{1000});
+  source.query_timeout = section.duration("timeout_ms", source.query_timeout, milliseconds{100});
+  source.refresh_interval = section.duration("refresh_ms", source.refresh_interval, milliseconds{1000});
   return source;
 }
 
@@ -132,8 +133,8 @@
   if (!servers->IsObject() || servers->ObjectEmpty())
     throw_field_error(section.field("servers"), "names no server");
   for (const auto& item : servers->GetObject()) {
-    const auto name = std::string(settings::text_of(item.name));
-    const auto version = settings::text_of(item.value);
+    const auto name = std::string(settings::string_value(item.name));
+    const auto version = settings::string_value(item.value);
     if (version != "learn" && version != "session-1" && version != "session-2") {
       throw_field_error(section.field("servers") + "." + name, "is none of learn, session-1, session-2");
     }
@@ -153,7 +154,7 @@
   if (const auto* session_api = file.find("session_api"))
     operator_file.session_api = read_session_api(*session_api);
   if (const auto* table = file.find("translate")) {
-    const auto faults = translate::read_table(*table, operator_file.translate);
+    const auto faults = translate::parse_operator_table(*table, operator_file.translate);
     if (!faults.empty()) throw ConfigError("operator file: " + faults.front());
   }
   if (const auto* ldap = file.find("ldap")) operator_file.ldap = read_ldap(*ldap);
--- a/src/app/operator_file.hpp
+++ b/src/app/operator_file.hpp
@@ -21,8 +21,8 @@
   std::string origin_realm;
   std::optional<asio::ip::tcp::endpoint> listen;  ///< the frontend for Diameter clients
   std::set<std::string> clients;                  ///< Origin-Hosts that are admitted; empty admits any
-  std::set<std::string> servers;               ///< names of session servers that use Diameter; `*` means all
-  std::chrono::milliseconds watchdog{30'000};  ///< interval (Tw of RFC 3539)
+  std::set<std::string> servers;  ///< names of session servers that use Diameter; `*` means all
+  std::chrono::milliseconds watchdog_interval{30'000};      ///< interval (Tw of RFC 3539)
   std::map<std::string, std::string, std::less<>> tenants;  ///< tenant names by User-Name or realm
 
   [[nodiscard]] bool is_diameter_server(const std::string& server) const {
@@ -47,7 +47,7 @@
 struct OperatorFile {
   std::optional<DiameterConfig> diameter;
   std::optional<SessionApiConfig> session_api;
-  translate::Table translate;
+  translate::MappingTable translate;
   std::optional<directory::LdapSource> ldap;
 };
 
--- a/src/app/router.cpp
+++ b/src/app/router.cpp
@@ -25,9 +25,9 @@
     : loop_(loop),
       config_(config),
       names_(config.names),
-      resource_limits_(net::ResourceLimits::of(config.memory_mb, config.sockets)),
+      resource_limits_(net::ResourceLimits::from_config(config.max_memory_mb, config.max_sockets)),
       dispatcher_(config.settings, net::Loop::now()),
-      table_(dispatcher_, servers_, loop.wheel, counters_, &net::Loop::now),
+      table_(dispatcher_, servers_, loop.timers, counters_, &net::Loop::now),
       operator_file_(operator_file),
       context_{loop,
                table_,
@@ -43,16 +43,16 @@
                  endpoint_updates_.on_availability_changed(id, is_restarted);
                }},
       endpoint_updates_(context_, upstream_pools_) {
-  loop.outgoing.most = resource_limits_.queued;
-  loop.outgoing.max_on_one = resource_limits_.queued_on_one;
-  if (config.settings.limits.peers && config.peer_listen && config.peers_all) {
+  loop.output_totals.max_bytes = resource_limits_.max_queued_bytes;
+  loop.output_totals.max_bytes_per_connection = resource_limits_.max_queued_bytes_per_connection;
+  if (config.settings.limits.may_message_peers && config.peer_listen && config.all_peers_address) {
     gossip_ = std::make_unique<discovery::GossipTransport>(
-        loop, *config.peer_listen, config.peers, *config.peers_all,
+        loop, *config.peer_listen, config.peers, *config.all_peers_address,
         [this](std::uint32_t from, std::vector<std::uint8_t> bytes) {
           table_.on_gossip(from, std::move(bytes));
         });
   }
-  table_.connect(
+  table_.set_sinks(
       [this](const std::vector<std::uint8_t>& bytes) {
         if (gossip_) gossip_->broadcast(bytes);
       },
@@ -61,23 +61,24 @@
   for (const auto& kind : upstream_pool_kinds()) upstream_pools_.push_back(kind.make(context_));
   if (operator_file_.ldap) start_directory_refresh();
   for (const auto& kind : frontend_kinds()) frontends_.push_back(kind.make(context_));
-  for (const auto& update : config.known) apply(update);
-  config_.known.clear();  // applied above; a reload brings its own list
+  for (const auto& update : config.known_updates) apply_endpoint_update(update);
+  config_.known_updates.clear();  // applied above; a reload brings its own list
   endpoint_watcher_ = std::make_unique<discovery::EndpointWatcher>(
-      loop, counters_, config.channel, config.cursor,
-      [this](const discovery::EndpointUpdate& update) { apply(update); });
+      loop, counters_, config.command_channel, config.last_event_id,
+      [this](const discovery::EndpointUpdate& update) { apply_endpoint_update(update); });
   schedule_forget_removed();
-  if (config.control) {
+  if (config.admin_listen) {
     // Admin connections have a limit of their own, apart from those for callers and servers: a sixteenth of
     // the sockets, but at least eight.
-    const std::size_t max_connections = std::max<std::size_t>(8, config.sockets / 16);
+    const std::size_t max_connections = std::max<std::size_t>(8, config.max_sockets / 16);
     admin_server_ = std::make_unique<admin::AdminServer>(
-        loop, *config.control, max_connections, [this](admin::Command command) { return answer(command); });
-    net::log::info("admin: listening at ", net::text_of(admin_server_->local_endpoint()));
+        loop, *config.admin_listen, max_connections,
+        [this](admin::Command command) { return execute_admin_command(command); });
+    net::log::info("admin: listening at ", net::to_text(admin_server_->local_endpoint()));
   }
 }
 
-void Router::standby(bool on) {
+void Router::set_standby(bool on) {
   if (standby_ == on) return;
   standby_ = on;
   for (const auto& frontend : frontends_) {
@@ -85,10 +86,10 @@
   }
 }
 
-std::string Router::answer(admin::Command command) {
+std::string Router::execute_admin_command(admin::Command command) {
   switch (command) {
     case admin::Command::kStatus:
-      if (ready()) return "+OK yes";
+      if (is_ready()) return "+OK yes";
       return on_exit_ ? "-ERR no: stopping" : "-ERR no: standby";
     case admin::Command::kStats: {
       admin::Gauges gauges;
@@ -96,17 +97,18 @@
       for (const auto& [id, server] : servers_.all()) {
         if (server.state == EndpointState::kRemoved) continue;
         ++gauges.registry_entries;
-        if (server.state != EndpointState::kReady || !server.port->is_available(id)) ++gauges.out_of_rotation;
+        if (server.state != EndpointState::kReady || !server.upstream_pool->is_available(id))
+          ++gauges.out_of_rotation;
       }
       auto lines = admin::statsd_lines(counters_, names_.classes, gauges);
       lines.pop_back();  // the admin server ends the reply
       return "+OK\n" + lines;
     }
     case admin::Command::kStandby:
-      standby(true);
+      set_standby(true);
       return "+OK standby";
     case admin::Command::kActive:
-      standby(false);
+      set_standby(false);
       return "+OK active";
   }
   return "-ERR unknown call";
@@ -123,7 +125,7 @@
     ++counters_.directory_failures;
     net::log::error("directory: initial read failed, starting without it: ", error);
   }
-  refresher_ = std::make_unique<directory::Refresher>(
+  refresher_ = std::make_unique<directory::TenantRefresher>(
       *operator_file_.ldap, [this](std::optional<directory::TenantMap> tenants, const std::string& reason) {
         asio::post(loop_.io, [this, tenants = std::move(tenants), reason]() mutable {
           if (!tenants) {
@@ -138,7 +140,7 @@
       });
 }
 
-std::size_t Router::callers() const {
+std::size_t Router::caller_connections() const {
   std::size_t open = 0;
   for (const auto& frontend : frontends_) open += frontend ? frontend->connections() : 0;
   return open;
@@ -147,7 +149,7 @@
 std::optional<asio::ip::tcp::endpoint> Router::frontend_endpoint(std::string_view name) const {
   const auto kinds = frontend_kinds();
   for (std::size_t i = 0; i < kinds.size(); ++i) {
-    if (kinds[i].name == name && frontends_[i]) return net::read_endpoint(frontends_[i]->listen_address());
+    if (kinds[i].name == name && frontends_[i]) return net::parse_endpoint(frontends_[i]->listen_address());
   }
   return std::nullopt;
 }
@@ -162,8 +164,8 @@
 }
 
 void Router::schedule_forget_removed() {
-  loop_.after(kForgetRemovedInterval, [this] {
-    endpoint_updates_.forget_removed(net::Loop::now());
+  loop_.run_after(kForgetRemovedInterval, [this] {
+    endpoint_updates_.forget_removed_servers(net::Loop::now());
     schedule_forget_removed();
   });
 }
@@ -183,34 +185,35 @@
     names_ = std::move(plan.names);
     dispatcher_.apply_reload(plan.classes, plan.limits);
     config_.settings_text = new_config.settings_text;
-    for (const auto& note : plan.notes) net::log::info("reload: ", note);
+    for (const auto& note : plan.changes) net::log::info("reload: ", note);
     for (const auto& setting : plan.requires_restart) reject(setting.c_str());
   }
-  if (new_config.sockets != config_.sockets || new_config.memory_mb != config_.memory_mb) reject("limits");
-  if (new_config.peers != config_.peers || new_config.peers_all != config_.peers_all) {
-    if (gossip_ && new_config.peers_all) {
-      gossip_->set_peers(new_config.peers, *new_config.peers_all);
+  if (new_config.max_sockets != config_.max_sockets || new_config.max_memory_mb != config_.max_memory_mb)
+    reject("limits");
+  if (new_config.peers != config_.peers || new_config.all_peers_address != config_.all_peers_address) {
+    if (gossip_ && new_config.all_peers_address) {
+      gossip_->set_peers(new_config.peers, *new_config.all_peers_address);
       config_.peers = new_config.peers;
-      config_.peers_all = new_config.peers_all;
+      config_.all_peers_address = new_config.all_peers_address;
       net::log::info("reload: now gossiping with ", new_config.peers.size(), " peers");
     } else {
       reject("peers");
     }
   }
-  for (const auto& update : new_config.known) endpoint_watcher_->apply_update(update);
-  endpoint_watcher_->reconnect_to(new_config.channel);
-  config_.channel = new_config.channel;
+  for (const auto& update : new_config.known_updates) endpoint_watcher_->apply_update(update);
+  endpoint_watcher_->reconnect_to(new_config.command_channel);
+  config_.command_channel = new_config.command_channel;
   net::log::info("reload: configuration applied");
 }
 
-void Router::reload_failed(std::string_view reason) {
+void Router::on_reload_failed(std::string_view reason) {
   ++counters_.reloads_failed;
   net::log::error("reload: new configuration rejected, keeping the current one: ", reason);
 }
 
 void Router::join_hot_restart(const std::string& folder) {
   auto acquired = hot_restart::InstanceLock::acquire(
-      folder, {config_.name, net::text_of(callers_at()), net::Loop::unix_us()});
+      folder, {config_.name, net::to_text(callers_endpoint()), net::Loop::unix_us()});
   if (const auto* error = std::get_if<hot_restart::StorageError>(&acquired)) {
     net::log::info("hot restart: no instance record, a replacement of this process will not be detected: ",
                    error->message);
@@ -244,7 +247,7 @@
       if (frontend) frontend->deliver_release(release);
     }
   }
-  if (is_replacing) loop_.after(kStoredReleasesInterval, [this] { deliver_stored_releases(); });
+  if (is_replacing) loop_.run_after(kStoredReleasesInterval, [this] { deliver_stored_releases(); });
 }
 
 void Router::store_undelivered_releases() {
@@ -296,10 +299,10 @@
     for (const auto& pool : upstream_pools_) {
       if (pool) pool->shut_down();
     }
-    exit_when_closed(shutdown_plan_.end_by(now));
+    exit_when_closed(shutdown_plan_.callers_close_by(now));
     return;
   }
-  loop_.after(kExitCheckInterval, [this] { check_exit(); });
+  loop_.run_after(kExitCheckInterval, [this] { check_exit(); });
 }
 
 // A process that exits with unread input resets its connections, and a caller may see the reset before the
@@ -312,7 +315,7 @@
     on_exit_();
     return;
   }
-  loop_.after(core::TimerWheel::kTick, [this, deadline] { exit_when_closed(deadline); });
+  loop_.run_after(core::TimerWheel::kTick, [this, deadline] { exit_when_closed(deadline); });
 }
 
 }  // namespace amberknot::app
--- a/src/app/router.hpp
+++ b/src/app/router.hpp
@@ -43,36 +43,36 @@
   /// and not applied.
   void reload(const Config& new_config);
   /// Counts and logs that a new configuration is invalid; the current one stays in force.
-  void reload_failed(std::string_view reason);
+  void on_reload_failed(std::string_view reason);
   /// Deletes the entries of servers whose retention time has passed at `now` and that no call refers to.
-  void forget_removed(Instant now) { endpoint_updates_.forget_removed(now); }
+  void forget_removed_servers(Instant now) { endpoint_updates_.forget_removed_servers(now); }
   /// Turns standby on (connections of callers are drained) or off (callers are accepted again), as the admin
   /// commands `standby` and `active` do.
-  void standby(bool on);
+  void set_standby(bool on);
   /// Whether this process accepts clients: it is neither in standby nor shutting down.
-  [[nodiscard]] bool ready() const { return !standby_ && !on_exit_; }
+  [[nodiscard]] bool is_ready() const { return !standby_ && !on_exit_; }
   /// Executes an admin command and returns the reply without its last line feed.
-  [[nodiscard]] std::string answer(admin::Command command);
+  [[nodiscard]] std::string execute_admin_command(admin::Command command);
   /// Where the admin server listens; empty if it is not configured.
   [[nodiscard]] std::optional<asio::ip::tcp::endpoint> admin_endpoint() const {
     return admin_server_ ? std::optional(admin_server_->local_endpoint()) : std::nullopt;
   }
   /// Applies an endpoint update, as from the command channel.
-  void apply(const discovery::EndpointUpdate& update) { endpoint_updates_.apply(update); }
+  void apply_endpoint_update(const discovery::EndpointUpdate& update) { endpoint_updates_.apply(update); }
 
   [[nodiscard]] const core::Counters& counters() const { return counters_; }
   [[nodiscard]] const core::CallTable& table() const { return table_; }
   [[nodiscard]] const core::EndpointRegistry& servers() const { return servers_; }
   /// The number of open connections of callers at all frontends.
-  [[nodiscard]] std::size_t callers() const;
+  [[nodiscard]] std::size_t caller_connections() const;
   /// Where the frontend of that name (see frontend_kinds()) listens; empty if it is not configured.
   [[nodiscard]] std::optional<asio::ip::tcp::endpoint> frontend_endpoint(std::string_view name) const;
   /// Where callers over JSON lines connect.
-  [[nodiscard]] asio::ip::tcp::endpoint callers_at() const {
+  [[nodiscard]] asio::ip::tcp::endpoint callers_endpoint() const {
     return *frontend_endpoint(frontend_kinds()[0].name);
   }
   /// Where Diameter clients connect; empty if that frontend is not configured.
-  [[nodiscard]] std::optional<asio::ip::tcp::endpoint> diameter_at() const {
+  [[nodiscard]] std::optional<asio::ip::tcp::endpoint> diameter_endpoint() const {
     return frontend_endpoint("diameter");
   }
   /// The tenant that a User-Name, realm or acquirer belongs to, from the directory or else the operator file;
@@ -90,7 +90,7 @@
 
   net::Loop& loop_;
   Config config_;  ///< the current one
-  core::Names names_;
+  core::ConfiguredNames names_;
   net::ResourceLimits resource_limits_;
   core::Counters counters_;
   core::EndpointRegistry servers_;
@@ -103,7 +103,7 @@
   std::vector<std::unique_ptr<core::Frontend>>
       frontends_;  ///< in the order of frontend_kinds(); null if not configured
   directory::TenantMap directory_;
-  std::unique_ptr<directory::Refresher> refresher_;
+  std::unique_ptr<directory::TenantRefresher> refresher_;
   std::unique_ptr<discovery::GossipTransport> gossip_;
   std::unique_ptr<discovery::EndpointWatcher> endpoint_watcher_;
   std::unique_ptr<admin::AdminServer> admin_server_;
--- a/src/core/call.hpp
+++ b/src/core/call.hpp
@@ -16,12 +16,12 @@
 namespace amberknot::core {
 
 /// A set-up request from a caller, parsed and validated by its frontend.
-struct NewSetUp {
+struct SetUpRequest {
   std::string id;  ///< 16 hex digits
   std::string call_class;
   std::string number;
   std::string description;
-  CallRequest facts;  ///< `expires` is when the caller stops waiting
+  CallRequest request;  ///< `expires` is when the caller stops waiting
   /// The parsed request, for upstream pools that need more than the fields above; null if there is none.
   std::unique_ptr<const ProtocolMessage> message = {};
 };
@@ -33,7 +33,7 @@
   bool is_caller_fault = false;
   LoadReport load = {};
   /// The classification of the server's error response, if there was one; it then determines the outcome.
-  std::optional<ErrorMeaning> error = {};
+  std::optional<ErrorClassification> error = {};
   std::optional<Duration> retry_after = {};  ///< delay requested by the server
 };
 
@@ -45,11 +45,11 @@
 /// | queued | the decision module forwards it | in flight |
 /// | queued | rejected, failed, abandoned by its caller, or expired | (over) |
 /// | in flight | the server accepts the call (200 or equivalent) | established |
-/// | in flight | the attempt ends: error, overload, timeout, reset, cancelled or never sent_at | queued |
+/// | in flight | the attempt ends: error, overload, timeout, reset, cancelled or never sent | queued |
 /// | in flight | abandoned by its caller | (over) |
 /// | established | released by the caller | (over) |
 /// | established | released by the server, or its server is lost | releasing |
-/// | releasing | the caller has been sent_at its release | (over) |
+/// | releasing | the caller has been sent its release | (over) |
 enum class CallState : std::uint8_t { kQueued, kInFlight, kEstablished, kReleasing };
 
 /// Returns whether the table above contains a transition from `from` to `to`.
@@ -69,13 +69,13 @@
 
 /// A call from its set-up to its release.
 struct Call {
-  NewSetUp set_up;
+  SetUpRequest set_up;
   ClientPort* client = nullptr;
   CallState state = CallState::kQueued;
   std::uint32_t attempts = 0;
   ServerId server{};          ///< server of the latest attempt
   ProtocolVersion version{};  ///< protocol version of the latest attempt
-  Placement placement;
+  AttemptHistory history;
   Instant sent_at{};             ///< when the latest attempt was forwarded
   TimerWheel::Handle timer = 0;  ///< the deadline timer; 0 if none is armed
   Instant timer_due_at{};
--- a/src/core/call_table.cpp
+++ b/src/core/call_table.cpp
@@ -20,29 +20,29 @@
       log_([](const auto&) {}),
       decisions_([this](const Decision& decision) { execute_decision(decision); }) {}
 
-void CallTable::connect(BroadcastSink broadcast, LogSink log) {
+void CallTable::set_sinks(BroadcastSink broadcast, LogSink log) {
   broadcast_ = std::move(broadcast);
   log_ = std::move(log);
 }
 
 // ---- events from callers ---------------------------------------------------------------------------------
 
-CallId CallTable::admit(ClientPort& client, NewSetUp set_up) {
+CallId CallTable::add_call(ClientPort& client, SetUpRequest set_up) {
   while (calls_.contains(CallId{next_id_})) ++next_id_;
   const CallId id{next_id_++};
-  if (shutdown_) set_up.facts.expires = std::min(set_up.facts.expires, shutdown_->answer_by);
-  set_up.facts.expires -= kAnswerMargin;
+  if (shutdown_) set_up.request.expires = std::min(set_up.request.expires, shutdown_->answer_by);
+  set_up.request.expires -= kAnswerMargin;
   auto& call = calls_[id];
   call.client = &client;
   call.set_up = std::move(set_up);
-  call.placement = Placement(call.set_up.facts.excluded_versions);
-  set_timer(id, call, call.set_up.facts.expires);
+  call.history = AttemptHistory(call.set_up.request.excluded_versions);
+  set_timer(id, call, call.set_up.request.expires);
   ++counters_.received;
   return id;
 }
 
 void CallTable::route(CallId id) {
-  if (const auto* call = find(id)) execute(dispatcher_.report_new_call(clock_(), id, call->set_up.facts));
+  if (const auto* call = find(id)) execute(dispatcher_.report_new_call(clock_(), id, call->set_up.request));
 }
 
 void CallTable::abandon(CallId id) {
@@ -52,7 +52,7 @@
   const bool is_in_flight = call->state == CallState::kInFlight;
   const auto attempt = latest_attempt(id, *call);
   const Duration elapsed = clock_() - call->sent_at;
-  const std::size_t call_class = call->set_up.facts.call_class;
+  const std::size_t call_class = call->set_up.request.call_class;
   forget(id);
   if (!is_in_flight) {
     ++counters_.abandoned_while_queued;
@@ -90,8 +90,8 @@
   shutdown_ = plan;
   const Instant latest_expiry = plan.answer_by - kAnswerMargin;
   for (auto& [id, call] : calls_) {
-    if (!call.is_unanswered() || call.set_up.facts.expires <= latest_expiry) continue;
-    call.set_up.facts.expires = latest_expiry;
+    if (!call.is_unanswered() || call.set_up.request.expires <= latest_expiry) continue;
+    call.set_up.request.expires = latest_expiry;
     // The timeout of an attempt in flight may be earlier than that and then remains armed.
     if (call.timer_due_at > latest_expiry) set_timer(id, call, latest_expiry);
   }
@@ -99,7 +99,7 @@
 
 // ---- events from servers --------------------------------------------------------------------------------
 
-bool CallTable::on_established(const AttemptRef& attempt, std::string_view description) {
+bool CallTable::on_established(const AttemptId& attempt, std::string_view description) {
   auto* call = find(attempt);
   if (call == nullptr || call->state != CallState::kInFlight) return false;
   wheel_.cancel(std::exchange(call->timer, 0));
@@ -110,14 +110,14 @@
     return false;
   }
   ++counters_.established;
-  ++counters_.of_class(call->set_up.facts.call_class).fulfilled;
+  ++counters_.of_class(call->set_up.request.call_class).fulfilled;
   execute(dispatcher_.report_established(clock_(), attempt.call, attempt.server, attempt.attempt, elapsed));
   return true;
 }
 
-void CallTable::fail_established(const AttemptRef& attempt, Call& call, Duration elapsed) {
+void CallTable::fail_established(const AttemptId& attempt, Call& call, Duration elapsed) {
   ++counters_.failed;
-  ++counters_.of_class(call.set_up.facts.call_class).faulted;
+  ++counters_.of_class(call.set_up.request.call_class).faulted;
   call.client->fail(attempt.call, Reason::kFieldRejected);
   forget(attempt.call);
   execute(
@@ -125,11 +125,11 @@
                                        {.outcome = Outcome::kError, .elapsed = elapsed, .call_ended = true}));
 }
 
-void CallTable::on_attempt_ended(const AttemptRef& attempt, const AttemptEnd& end) {
+void CallTable::on_attempt_ended(const AttemptId& attempt, const AttemptEnd& end) {
   if (find(attempt) != nullptr) end_attempt(attempt.call, end);
 }
 
-void CallTable::abort_sent_before(ServerId server, Instant cutoff, const char* why) {
+void CallTable::abort_calls_sent_before(ServerId server, Instant cutoff, const char* why) {
   std::vector<CallId> aborted;
   for (const auto& [id, call] : calls_) {
     const bool is_established_there = call.state == CallState::kEstablished && call.server == server;
@@ -140,7 +140,7 @@
   for (const CallId id : aborted) {
     const auto* call = find(id);
     if (call == nullptr) continue;
-    if (auto* upstream_pool = server_port(server)) upstream_pool->forget(latest_attempt(id, *call));
+    if (auto* upstream_pool = server_port(server)) upstream_pool->forget_attempt(latest_attempt(id, *call));
     end_attempt(id, {.outcome = Outcome::kReset, .cause = Cause::kTemporaryFailure});
   }
 }
@@ -156,8 +156,8 @@
   execute(dispatcher_.report_load(clock_(), server, load));
 }
 
-void CallTable::on_endpoints_changed(bool is_whole_list, const std::vector<ServerFacts>& servers) {
-  execute(dispatcher_.report_endpoints(clock_(), is_whole_list, servers));
+void CallTable::on_endpoints_changed(bool is_full_list, const std::vector<ServerDescription>& servers) {
+  execute(dispatcher_.report_endpoints(clock_(), is_full_list, servers));
 }
 
 void CallTable::on_gossip(std::uint32_t from, std::vector<std::uint8_t> bytes) {
@@ -224,7 +224,7 @@
 
 // During a shutdown a call's deadline here is earlier than the one that the module knows.
 void CallTable::forward_unless_expired(const Decision& decision) {
-  if (clock_() < calls_.at(decision.call).set_up.facts.expires) {
+  if (clock_() < calls_.at(decision.call).set_up.request.expires) {
     forward(decision);
   } else {
     reject_expired(decision.call);
@@ -239,13 +239,13 @@
   call.sent_at = clock_();
   ++call.attempts;
   ++counters_.attempts;
-  ++counters_.of_class(call.set_up.facts.call_class).relayed;
+  ++counters_.of_class(call.set_up.request.call_class).relayed;
   auto* upstream_pool = server_port(decision.server);
   if (upstream_pool == nullptr) {
     end_attempt(decision.call, {.outcome = Outcome::kNotSent, .cause = Cause::kOutOfOrder});
     return;
   }
-  Duration wait = call.set_up.facts.expires - call.sent_at;
+  Duration wait = call.set_up.request.expires - call.sent_at;
   if (decision.time > Duration::zero()) wait = std::min(wait, decision.time);
   set_timer(decision.call, call, call.sent_at + wait);
   upstream_pool->set_up({.attempt = latest_attempt(decision.call, call),
@@ -253,7 +253,7 @@
                          .call_class = call.set_up.call_class,
                          .number = call.set_up.number,
                          .description = call.set_up.description,
-                         .wait = wait,
+                         .answer_timeout = wait,
                          .message = call.set_up.message.get()});
 }
 
@@ -275,7 +275,7 @@
   if (report.call_ended) {
     release_to_client(id, call, end);
   } else {
-    counters_.count_attempt_end(report.outcome, call.set_up.facts.call_class);
+    counters_.count_attempt_end(report.outcome, call.set_up.request.call_class);
     change_state(call, CallState::kQueued);
   }
   execute(dispatcher_.report_attempt_ended(clock_(), id, attempt.server, attempt.attempt, report));
@@ -293,10 +293,11 @@
     report.retry_after = std::min(*end.retry_after, dispatcher_.longest_deadline());
   }
   if (end.error && call.state == CallState::kInFlight) {
-    const auto verdict = call.placement.on_attempt_ended(call.version, *end.error, end.retry_after);
+    const auto verdict = call.history.on_attempt_ended(call.version, *end.error, end.retry_after);
     report.outcome = verdict.outcome;
     report.is_caller_fault = verdict.is_caller_fault;
-    report.excludes_versions = verdict.final_now ? kAllVersions : call.placement.excluded_versions();
+    report.newly_excluded_versions =
+        verdict.answer_immediately ? kAllVersions : call.history.excluded_versions();
   }
   return report;
 }
@@ -309,7 +310,7 @@
   forget(id);
 }
 
-Outcome CallTable::cancel_attempt(const AttemptRef& attempt, Outcome outcome_if_sent) {
+Outcome CallTable::cancel_attempt(const AttemptId& attempt, Outcome outcome_if_sent) {
   auto* upstream_pool = server_port(attempt.server);
   if (upstream_pool != nullptr && upstream_pool->cancel(attempt)) return Outcome::kNotSent;
   ++counters_.cancels;
@@ -318,8 +319,8 @@
 
 void CallTable::send_final_answer(CallId id, Reason reason, Duration retry_after) {
   auto& call = calls_.at(id);
-  auto& class_counts = counters_.of_class(call.set_up.facts.call_class);
-  const auto answer = final_answer(call.placement, servers_.supported_versions(), reason, retry_after,
+  auto& class_counts = counters_.of_class(call.set_up.request.call_class);
+  const auto answer = final_answer(call.history, servers_.supported_versions(), reason, retry_after,
                                    dispatcher_.settings().limits);
   if (answer.is_rejection()) {
     ++counters_.rejected;
@@ -340,9 +341,9 @@
 
 Duration CallTable::shutdown_retry_after() const {
   const auto& limits = dispatcher_.settings().limits;
-  if (!shutdown_ || !limits.retry_advice) return Duration::zero();
+  if (!shutdown_ || !limits.may_advise_retry) return Duration::zero();
   const Duration until_exit = shutdown_->exit_by - clock_();
-  return std::clamp(until_exit, Duration::zero(), limits.max_retry_advice);
+  return std::clamp(until_exit, Duration::zero(), limits.max_retry_after);
 }
 
 void CallTable::forget(CallId id) {
@@ -358,15 +359,15 @@
 void CallTable::set_timer(CallId id, Call& call, Instant due) {
   wheel_.cancel(call.timer);
   call.timer_due_at = due;
-  call.timer = wheel_.at(due, [this, id] { on_timer(id); });
+  call.timer = wheel_.schedule_at(due, [this, id] { on_timer(id); });
 }
 
 void CallTable::on_timer(CallId id) {
   auto* call = find(id);
   if (call == nullptr) return;
   call->timer = 0;
-  const bool is_expired = clock_() >= call->set_up.facts.expires;
-  if (!is_expired) set_timer(id, *call, call->set_up.facts.expires);
+  const bool is_expired = clock_() >= call->set_up.request.expires;
+  if (!is_expired) set_timer(id, *call, call->set_up.request.expires);
   if (call->state == CallState::kInFlight) {
     const Outcome outcome = cancel_attempt(latest_attempt(id, *call), Outcome::kTimeout);
     end_attempt(id, {.outcome = outcome, .cause = Cause::kTimerExpiry});
@@ -384,7 +385,7 @@
   if (!next_due || (tick_timer_ != 0 && tick_due_at_ && *tick_due_at_ <= *next_due)) return;
   wheel_.cancel(tick_timer_);
   tick_due_at_ = next_due;
-  tick_timer_ = wheel_.at(*next_due, [this] {
+  tick_timer_ = wheel_.schedule_at(*next_due, [this] {
     tick_timer_ = 0;
     execute(dispatcher_.tick(clock_()));
   });
@@ -404,7 +405,7 @@
   return found != calls_.end() ? &found->second : nullptr;
 }
 
-Call* CallTable::find(const AttemptRef& attempt) {
+Call* CallTable::find(const AttemptId& attempt) {
   auto* call = find(attempt.call);
   if (call == nullptr) return nullptr;
   const bool has_attempt = call->state == CallState::kInFlight || call->state == CallState::kEstablished;
@@ -414,7 +415,7 @@
 
 ServerPort* CallTable::server_port(ServerId server) {
   auto* entry = servers_.find(server);
-  return entry != nullptr ? entry->port : nullptr;
+  return entry != nullptr ? entry->upstream_pool : nullptr;
 }
 
 }  // namespace amberknot::core
--- a/src/core/call_table.hpp
+++ b/src/core/call_table.hpp
@@ -34,11 +34,11 @@
             Clock clock);
 
   /// Sets where the module's messages to its peers and its log lines go.
-  void connect(BroadcastSink broadcast, LogSink log);
+  void set_sinks(BroadcastSink broadcast, LogSink log);
 
   // Events from callers.
   /// Adds a call. The frontend stores its id before it calls route().
-  CallId admit(ClientPort& client, NewSetUp set_up);
+  CallId add_call(ClientPort& client, SetUpRequest set_up);
   /// Passes a new call to the decision module, which forwards, queues or rejects it.
   void route(CallId call);
   /// Ends a call whose caller no longer waits for it. Has no effect once the call is established.
@@ -52,21 +52,23 @@
   // Events from servers.
   /// Handles a server's acceptance of a call. Returns false if the attempt is over or the answer cannot be
   /// passed on; the upstream pool then has to acknowledge it and release the call at the server.
-  bool on_established(const AttemptRef& attempt, std::string_view description);
+  bool on_established(const AttemptId& attempt, std::string_view description);
   /// Handles the end of an attempt; ignored if the attempt is already over.
-  void on_attempt_ended(const AttemptRef& attempt, const AttemptEnd& end);
+  void on_attempt_ended(const AttemptId& attempt, const AttemptEnd& end);
   /// Handles the result of a health check, with the load that the server reported.
   void on_health_check_result(ServerId server, Outcome outcome, Duration elapsed, const LoadReport& load);
   /// Handles a load report that a server sent without a health check.
   void on_load_report(ServerId server, const LoadReport& load);
   /// Ends all established calls at a server whose process is known to have died; `why` is logged.
-  void abort_all(ServerId server, const char* why) { abort_sent_before(server, Instant::max(), why); }
+  void abort_calls_at(ServerId server, const char* why) {
+    abort_calls_sent_before(server, Instant::max(), why);
+  }
   /// Ends those established calls at such a server that were forwarded before `cutoff`; `why` is logged.
-  void abort_sent_before(ServerId server, Instant cutoff, const char* why);
+  void abort_calls_sent_before(ServerId server, Instant cutoff, const char* why);
 
   // Events from service discovery and peers.
-  /// Handles new entries of the endpoint list; `is_whole_list` says that servers missing from it are gone.
-  void on_endpoints_changed(bool is_whole_list, const std::vector<ServerFacts>& servers);
+  /// Handles new entries of the endpoint list; `is_full_list` says that servers missing from it are removed.
+  void on_endpoints_changed(bool is_full_list, const std::vector<ServerDescription>& servers);
   /// Handles a message from the peer of that number.
   void on_gossip(std::uint32_t from, std::vector<std::uint8_t> bytes);
 
@@ -93,11 +95,11 @@
   void release_to_client(CallId id, Call& call, const AttemptEnd& end);
   /// Fails a call because the caller's protocol cannot carry the server's answer; it is then released at the
   /// server.
-  void fail_established(const AttemptRef& attempt, Call& call, Duration elapsed);
+  void fail_established(const AttemptId& attempt, Call& call, Duration elapsed);
   /// Cancels an attempt in flight at its server. Returns `kNotSent` if nothing of it had been written: the
   /// server never executed it, so that no pause is needed before the next attempt. Otherwise returns
   /// `outcome_if_sent`.
-  Outcome cancel_attempt(const AttemptRef& attempt, Outcome outcome_if_sent);
+  Outcome cancel_attempt(const AttemptId& attempt, Outcome outcome_if_sent);
   /// Sends the only final answer of a queued call; `reason` and `retry_after` as in final_answer().
   void send_final_answer(CallId id, Reason reason, Duration retry_after);
   /// Rejects a queued call whose deadline has passed and tells the module to drop it.
@@ -117,9 +119,9 @@
   void change_state(Call& call, CallState next_state);
   [[nodiscard]] Call* find(CallId id);
   /// Returns the call of which that attempt is in flight or established, or null if the attempt is over.
-  [[nodiscard]] Call* find(const AttemptRef& attempt);
+  [[nodiscard]] Call* find(const AttemptId& attempt);
   [[nodiscard]] ServerPort* server_port(ServerId server);
-  [[nodiscard]] AttemptRef latest_attempt(CallId id, const Call& call) const {
+  [[nodiscard]] AttemptId latest_attempt(CallId id, const Call& call) const {
     return {.call = id, .attempt = call.attempts - 1, .server = call.server};
   }
 
--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -32,17 +32,17 @@
   /// Abandoned set-ups without an attempt in flight, for which nothing is sent to a server.
   std::uint64_t abandoned_while_queued = 0;
   /// Set-ups with a readable id and an invalid field.
-  std::uint64_t malformed = 0;
+  std::uint64_t malformed_set_ups = 0;
   /// Lines or message headers that could not be parsed, so that their connection was closed.
-  std::uint64_t unreadable = 0;
+  std::uint64_t unreadable_messages = 0;
   /// Set-ups with the id of a call that has not ended.
   std::uint64_t repeated_ids = 0;
   /// Connections and set-ups rejected because a resource limit was reached.
   std::uint64_t rejected_for_capacity = 0;
   /// Connections closed to make room for new ones.
-  std::uint64_t evicted = 0;
+  std::uint64_t evicted_connections = 0;
   /// Connections closed because they sent no valid message in time.
-  std::uint64_t idle_closed = 0;
+  std::uint64_t idle_connections_closed = 0;
   /// Messages that refer to an unknown call.
   std::uint64_t unknown_ids = 0;
   /// Endpoint list changes applied.
@@ -63,9 +63,9 @@
   std::uint64_t cancels = 0;
   std::uint64_t health_checks = 0;
   /// Set-ups withdrawn before their first byte was written.
-  std::uint64_t withdrawn = 0;
+  std::uint64_t withdrawn_set_ups = 0;
   /// Set-ups not yet written to a connection when it was lost, and sent on another one.
-  std::uint64_t moved = 0;
+  std::uint64_t moved_set_ups = 0;
   /// Connections to servers that were abandoned as stalled: still open, but unusable.
   std::uint64_t stalled_connections = 0;
   /// Connections to servers that were established after their connect timeout and kept.
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -80,7 +80,7 @@
   NewCall event;
   event.call = call;
   event.expires = request.expires;
-  event.destination = request.first_choice.value_or(kNoPool);
+  event.destination = request.preferred_pool.value_or(kNoPool);
   event.width = request.width;
   event.call_class = request.call_class;
   event.tenant = request.tenant;
@@ -104,7 +104,7 @@
   event.elapsed = report.elapsed;
   event.call_ended = report.call_ended;
   event.is_caller_fault = report.is_caller_fault;
-  event.excludes_versions = report.excludes_versions;
+  event.newly_excluded_versions = report.newly_excluded_versions;
   event.retry_after = report.retry_after;
   event.report = report.load;
   return handle_event(now, event);
@@ -123,9 +123,9 @@
   return handle_event(now, HealthCheckResult{server, Outcome::kOk, true, Duration::zero(), load});
 }
 
-Decisions Dispatcher::report_endpoints(Instant now, bool is_whole_list,
-                                       const std::vector<ServerFacts>& servers) {
-  EndpointUpdate event{is_whole_list ? EndpointUpdateScope::kFull : EndpointUpdateScope::kDelta, {}};
+Decisions Dispatcher::report_endpoints(Instant now, bool is_full_list,
+                                       const std::vector<ServerDescription>& servers) {
+  EndpointUpdate event{is_full_list ? EndpointUpdateScope::kFull : EndpointUpdateScope::kDelta, {}};
   for (const auto& server : servers)
     event.entries.push_back({server.server, server.pool, server.state, server.started, server.version});
   return handle_event(now, event);
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -30,9 +30,9 @@
 
 /// What a call asks for, as parsed by its frontend.
 struct CallRequest {
-  Instant expires{};                   ///< when the caller stops waiting
-  std::optional<PoolId> first_choice;  ///< preferred pool; empty if the caller named none
-  double width = 1;                    ///< number of lines that the call occupies
+  Instant expires{};                     ///< when the caller stops waiting
+  std::optional<PoolId> preferred_pool;  ///< preferred pool; empty if the caller named none
+  double width = 1;                      ///< number of lines that the call occupies
   std::size_t call_class = 0;
   std::size_t tenant = 0;
   bool was_aborted = false;  ///< the caller repeats a call that was aborted
@@ -45,13 +45,13 @@
   Duration elapsed{};
   bool call_ended = false;
   bool is_caller_fault = false;
-  ProtocolVersionSet excludes_versions = 0;
+  ProtocolVersionSet newly_excluded_versions = 0;
   LoadReport load = {};
   std::optional<Duration> retry_after = {};  ///< delay that an overloaded server requests from all senders
 };
 
 /// A server as reported to the decision module.
-struct ServerFacts {
+struct ServerDescription {
   ServerId server{};
   PoolId pool{};
   EndpointState state = EndpointState::kReady;
@@ -81,8 +81,8 @@
                                 const LoadReport& load);
   /// Reports the load of a server that sent it without a health check.
   Decisions report_load(Instant now, ServerId server, const LoadReport& load);
-  /// Reports the endpoint list, or the changed entries only if `is_whole_list` is false.
-  Decisions report_endpoints(Instant now, bool is_whole_list, const std::vector<ServerFacts>& servers);
+  /// Reports the endpoint list, or the changed entries only if `is_full_list` is false.
+  Decisions report_endpoints(Instant now, bool is_full_list, const std::vector<ServerDescription>& servers);
   /// Reports a message from the peer of that number.
   Decisions report_peer_message(Instant now, std::uint32_t from, std::vector<std::uint8_t> bytes);
 
--- a/src/core/endpoint_registry.cpp
+++ b/src/core/endpoint_registry.cpp
@@ -4,7 +4,7 @@
 
 namespace amberknot::core {
 
-Endpoint& EndpointRegistry::of(std::string_view name) {
+Endpoint& EndpointRegistry::find_or_create(std::string_view name) {
   if (const auto found = ids_by_name_.find(name); found != ids_by_name_.end()) return *find(found->second);
   const ServerId id{next_id_++};
   auto& server = servers_[id];
@@ -32,7 +32,7 @@
 ProtocolVersionSet EndpointRegistry::supported_versions() const {
   ProtocolVersionSet versions = 0;
   for (const auto& [id, server] : servers_) {
-    if (server.state != EndpointState::kRemoved) versions |= set_of(server.version);
+    if (server.state != EndpointState::kRemoved) versions |= version_set(server.version);
   }
   return versions;
 }
--- a/src/core/endpoint_registry.hpp
+++ b/src/core/endpoint_registry.hpp
@@ -20,11 +20,11 @@
   std::string address;  ///< host:port
   PoolId pool{};
   EndpointState state = EndpointState::kReady;
-  std::int64_t started_unix_ms = 0;   ///< zero if it started long ago
-  std::optional<Instant> started;     ///< start on the monotonic clock, converted once per start
-  UpstreamPool* port = nullptr;       ///< upstream pool that connects to it; null until assigned
-  ProtocolVersion version{};          ///< protocol version that it supports
-  std::optional<Instant> removed_at;  ///< set only in the state kRemoved
+  std::int64_t started_unix_ms = 0;       ///< zero if it started long ago
+  std::optional<Instant> started;         ///< start on the monotonic clock, converted once per start
+  UpstreamPool* upstream_pool = nullptr;  ///< upstream pool that connects to it; null until assigned
+  ProtocolVersion version{};              ///< protocol version that it supports
+  std::optional<Instant> removed_at;      ///< set only in the state kRemoved
 };
 
 /// One changed server in an endpoint update.
@@ -40,7 +40,7 @@
 class EndpointRegistry {
  public:
   /// Returns the entry of that name, which is created on first use. Ids are never reused.
-  Endpoint& of(std::string_view name);
+  Endpoint& find_or_create(std::string_view name);
   /// Returns the entry of that server, or null if it is not registered.
   [[nodiscard]] Endpoint* find(ServerId id);
   [[nodiscard]] const Endpoint* find(std::string_view name) const;
--- a/src/core/final_answer.hpp
+++ b/src/core/final_answer.hpp
@@ -8,18 +8,20 @@
 
 namespace amberknot::core {
 
-/// The final answer of a call; `facts_of(reason)` says whether it is a rejection or a failure.
+/// The final answer of a call; `info_of(reason)` says whether it is a rejection or a failure.
 struct FinalAnswer {
   Reason reason = Reason::kCongestion;
   Duration retry_after{};  ///< for rejections; zero gives no advice
 
-  [[nodiscard]] bool is_rejection() const { return facts_of(reason).final_answer == Final::kRejected; }
+  [[nodiscard]] bool is_rejection() const {
+    return info_of(reason).final_answer == FinalAnswerKind::kRejected;
+  }
 };
 
 /// Returns the final answer of a call that this router ends with `reason` and the retry delay `retry_after`.
 /// Errors from servers take precedence over `reason`. A longer retry delay requested by servers replaces
 /// `retry_after` if the settings allow retry advice, up to their maximum.
-FinalAnswer final_answer(const Placement& placement, ProtocolVersionSet supported_versions, Reason reason,
+FinalAnswer final_answer(const AttemptHistory& history, ProtocolVersionSet supported_versions, Reason reason,
                          Duration retry_after, const Limits& limits);
 
 }  // namespace amberknot::core
--- a/src/core/graceful_shutdown.cpp
+++ b/src/core/graceful_shutdown.cpp
@@ -52,7 +52,7 @@
          (!has_pending_io || now >= answer_by);
 }
 
-Instant GracefulShutdown::end_by(Instant now) const {
+Instant GracefulShutdown::callers_close_by(Instant now) const {
   return std::min(now + kCloseTimeout, std::max(now, exit_by) + kExitLeadTime / 2);
 }
 
--- a/src/core/graceful_shutdown.hpp
+++ b/src/core/graceful_shutdown.hpp
@@ -27,9 +27,9 @@
 /// The release of a call whose caller is now connected to the replacing process, so that the replaced process
 /// could not deliver it.
 struct UndeliveredRelease {
-  std::string caller;  ///< the caller's address
-  std::string id;      ///< the caller's id of the call
-  int cause = 0;       ///< Q.850 cause value
+  std::string caller;   ///< the caller's address
+  std::string call_id;  ///< the caller's id of the call
+  int cause = 0;        ///< Q.850 cause value
   friend bool operator==(const UndeliveredRelease&, const UndeliveredRelease&) = default;
 };
 
@@ -49,7 +49,7 @@
   [[nodiscard]] bool may_exit(Instant now, std::size_t unanswered, std::size_t established,
                               bool has_pending_io = false) const;
   /// Returns until when callers may close their connections, if everything has been sent at `now`.
-  [[nodiscard]] Instant end_by(Instant now) const;
+  [[nodiscard]] Instant callers_close_by(Instant now) const;
 };
 
 }  // namespace amberknot::core
--- a/src/core/names.hpp
+++ b/src/core/names.hpp
@@ -11,16 +11,16 @@
 namespace amberknot::core {
 
 /// The names of the settings as set-ups carry them, and the most lines that a call of each class occupies.
-struct Names {
+struct ConfiguredNames {
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
-  std::vector<double> widths = {};  ///< most lines of a call, by class; empty if the settings give none
+  std::vector<double> max_widths = {};  ///< most lines of a call, by class; empty if the settings give none
   /// By class: whether a reload has removed it. A removed class keeps its index, so that calls in progress
   /// keep their class, but new calls cannot use it.
   std::vector<bool> retired = {};
 
   /// Returns the index of a class that new calls may use, or nothing if there is none of that name.
-  [[nodiscard]] std::optional<std::size_t> class_no(std::string_view name) const {
+  [[nodiscard]] std::optional<std::size_t> class_index(std::string_view name) const {
     for (std::size_t i = 0; i < classes.size(); ++i) {
       if (classes[i] == name && !(i < retired.size() && retired[i])) return i;
     }
@@ -30,7 +30,7 @@
 
 /// Returns whether `text` is a valid called number: 1 to 64 ASCII letters, digits, or one of `+*#-._`, all of
 /// which may appear in a request line.
-inline bool is_number_called(std::string_view text) {
+inline bool is_valid_called_number(std::string_view text) {
   return !text.empty() && text.size() <= 64 && std::all_of(text.begin(), text.end(), [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '+' ||
            c == '*' || c == '#' || c == '-' || c == '.' || c == '_';
--- a/src/core/placement.hpp
+++ b/src/core/placement.hpp
@@ -11,10 +11,10 @@
 
 /// The version of a server that has not yet reported which it supports. Only a call that has already ended
 /// excludes it.
-inline constexpr ProtocolVersion kNotKnown{31};
+inline constexpr ProtocolVersion kUnknownVersion{31};
 
 /// Returns the set that contains only that version.
-constexpr ProtocolVersionSet set_of(ProtocolVersion version) {
+constexpr ProtocolVersionSet version_set(ProtocolVersion version) {
   return ProtocolVersionSet{1} << static_cast<unsigned>(version);
 }
 
@@ -22,15 +22,15 @@
 /// in the end. The last error about the call takes precedence over errors about a protocol version or a
 /// server, and these take precedence over lack of capacity, because "the tenant is suspended" tells the
 /// caller more than "all servers are full".
-class Placement {
+class AttemptHistory {
  public:
-  Placement() = default;
-  explicit Placement(ProtocolVersionSet excluded_versions) : excluded_(excluded_versions) {}
+  AttemptHistory() = default;
+  explicit AttemptHistory(ProtocolVersionSet excluded_versions) : excluded_(excluded_versions) {}
 
   /// Records that an attempt at a server of that version ended with that error. Returns what the decision
   /// module is told.
-  Verdict on_attempt_ended(ProtocolVersion version, const ErrorMeaning& meaning,
-                           std::optional<Duration> retry_after = std::nullopt);
+  AttemptVerdict on_attempt_ended(ProtocolVersion version, const ErrorClassification& meaning,
+                                  std::optional<Duration> retry_after = std::nullopt);
 
   [[nodiscard]] ProtocolVersionSet excluded_versions() const { return excluded_; }
   /// Returns whether all supported versions are excluded, so that the call must be answered at once. While no
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -29,27 +29,27 @@
 };
 
 /// Identifies one attempt to set up a call at a server.
-struct AttemptRef {
+struct AttemptId {
   CallId call{};
   std::uint32_t attempt = 0;
   ServerId server{};
 };
 
-/// A set-up request as parsed by its frontend, for upstream pools that need more than the fields of SetUp.
-/// The core passes it on without reading it.
+/// A set-up request as parsed by its frontend, for upstream pools that need more than the fields of
+/// OutgoingSetUp. The core passes it on without reading it.
 class ProtocolMessage {
  public:
   virtual ~ProtocolMessage() = default;
 };
 
 /// The set-up of one attempt, with the fields that are passed unchanged from the caller to the server.
-struct SetUp {
-  AttemptRef attempt;
+struct OutgoingSetUp {
+  AttemptId attempt;
   std::string_view id;  ///< 16 hex digits
   std::string_view call_class;
   std::string_view number;
   std::string_view description;
-  Duration wait{};                           ///< how long to wait for an answer
+  Duration answer_timeout{};                 ///< how long to wait for an answer
   const ProtocolMessage* message = nullptr;  ///< null if the frontend keeps no parsed request
 };
 
@@ -74,14 +74,14 @@
  public:
   virtual ~ServerPort() = default;
   /// Sends a set-up to its server.
-  virtual void set_up(const SetUp& set_up) = 0;
+  virtual void set_up(const OutgoingSetUp& set_up) = 0;
   /// Cancels an attempt in flight. Returns true if no byte of its set-up has been or will be written, so that
   /// the server never sees it.
-  virtual bool cancel(const AttemptRef& attempt) = 0;
+  virtual bool cancel(const AttemptId& attempt) = 0;
   /// Releases an established call at its server.
-  virtual void release(const AttemptRef& attempt, Cause cause) = 0;
+  virtual void release(const AttemptId& attempt, Cause cause) = 0;
   /// Drops the state of an attempt that has ended, without sending anything: the server knows or is lost.
-  virtual void forget(const AttemptRef& attempt) = 0;
+  virtual void forget_attempt(const AttemptId& attempt) = 0;
   /// Sends a health check to a server.
   virtual void check_health(ServerId server) = 0;
 };
--- a/src/core/reason.cpp
+++ b/src/core/reason.cpp
@@ -7,22 +7,22 @@
   std::string_view name;
   ReasonInfo facts;
 };
-constexpr std::array<ReasonRow, kReasons> kReasonRows = {{
-    {"normal", {Final::kFailed, Reason::kServerFault}},
-    {"congestion", {Final::kRejected, Reason::kCongestion}},
-    {"no-circuit", {Final::kRejected, Reason::kCongestion}},
-    {"timeout", {Final::kRejected, Reason::kCongestion}},
-    {"over-share", {Final::kRejected, Reason::kCongestion}},
-    {"region-closed", {Final::kRejected, Reason::kCongestion}},
-    {"number-busy", {Final::kFailed, Reason::kServerFault}},
-    {"number-unknown", {Final::kFailed, Reason::kFieldRejected}},
-    {"tenant-unknown", {Final::kFailed, Reason::kFieldRejected}},
-    {"tenant-suspended", {Final::kFailed, Reason::kTenantUnknown}},
-    {"field-refused", {Final::kFailed, Reason::kServerFault}},
-    {"no-server-speaks", {Final::kFailed, Reason::kFieldRejected}},
-    {"duplicate", {Final::kFailed, Reason::kFieldRejected}},
-    {"server-fault", {Final::kFailed, Reason::kServerFault}},
-    {"cut", {Final::kFailed, Reason::kServerFault}},
+constexpr std::array<ReasonRow, kReasonCount> kReasonRows = {{
+    {"normal", {FinalAnswerKind::kFailed, Reason::kServerFault}},
+    {"congestion", {FinalAnswerKind::kRejected, Reason::kCongestion}},
+    {"no-circuit", {FinalAnswerKind::kRejected, Reason::kCongestion}},
+    {"timeout", {FinalAnswerKind::kRejected, Reason::kCongestion}},
+    {"over-share", {FinalAnswerKind::kRejected, Reason::kCongestion}},
+    {"region-closed", {FinalAnswerKind::kRejected, Reason::kCongestion}},
+    {"number-busy", {FinalAnswerKind::kFailed, Reason::kServerFault}},
+    {"number-unknown", {FinalAnswerKind::kFailed, Reason::kFieldRejected}},
+    {"tenant-unknown", {FinalAnswerKind::kFailed, Reason::kFieldRejected}},
+    {"tenant-suspended", {FinalAnswerKind::kFailed, Reason::kTenantUnknown}},
+    {"field-refused", {FinalAnswerKind::kFailed, Reason::kServerFault}},
+    {"no-server-speaks", {FinalAnswerKind::kFailed, Reason::kFieldRejected}},
+    {"duplicate", {FinalAnswerKind::kFailed, Reason::kFieldRejected}},
+    {"server-fault", {FinalAnswerKind::kFailed, Reason::kServerFault}},
+    {"cut", {FinalAnswerKind::kFailed, Reason::kServerFault}},
 }};
 
 }  // namespace
@@ -30,24 +30,24 @@
 std::string_view name_of(Reason reason) {
   return kReasonRows[static_cast<std::size_t>(reason)].name;
 }
-const ReasonInfo& facts_of(Reason reason) {
+const ReasonInfo& info_of(Reason reason) {
   return kReasonRows[static_cast<std::size_t>(reason)].facts;
 }
 
-std::optional<Reason> reason_of(std::string_view name) {
-  for (std::size_t i = 0; i < kReasons; ++i) {
+std::optional<Reason> reason_from_name(std::string_view name) {
+  for (std::size_t i = 0; i < kReasonCount; ++i) {
     if (kReasonRows[i].name == name) return static_cast<Reason>(i);
   }
   return std::nullopt;
 }
 
-Verdict verdict_of(const ErrorMeaning& meaning) {
-  Verdict verdict;
-  switch (meaning.about) {
-    case About::kServer:
+AttemptVerdict verdict_of(const ErrorClassification& meaning) {
+  AttemptVerdict verdict;
+  switch (meaning.scope) {
+    case ErrorScope::kServer:
       // The module pauses traffic to a server after kFull, which implies that the attempt was not executed.
       // An attempt that may have been executed counts as an error of the server.
-      if (meaning.ran == Ran::kMaybe) {
+      if (meaning.execution_state == ExecutionState::kMayHaveExecuted) {
         verdict.outcome = meaning.reason == Reason::kTimeout   ? Outcome::kTimeout
                           : meaning.reason == Reason::kAborted ? Outcome::kReset
                                                                : Outcome::kError;
@@ -56,15 +56,16 @@
         verdict.outcome = is_full ? Outcome::kFull : Outcome::kNotSent;
       }
       break;
-    case About::kVersion:
-      verdict.outcome = meaning.ran == Ran::kNo ? Outcome::kNotSent : Outcome::kError;
+    case ErrorScope::kVersion:
+      verdict.outcome =
+          meaning.execution_state == ExecutionState::kNotExecuted ? Outcome::kNotSent : Outcome::kError;
       verdict.is_caller_fault = true;
       verdict.excludes_version = true;
       break;
-    case About::kCall:
+    case ErrorScope::kCall:
       verdict.outcome = Outcome::kError;
       verdict.is_caller_fault = true;
-      verdict.final_now = true;
+      verdict.answer_immediately = true;
       break;
   }
   return verdict;
--- a/src/core/reason.hpp
+++ b/src/core/reason.hpp
@@ -33,55 +33,56 @@
   kAborted,             ///< the server or the connection to it was lost
 };
 /// Number of enumerators of Reason.
-inline constexpr std::size_t kReasons = 15;
+inline constexpr std::size_t kReasonCount = 15;
 /// Returns the name of a reason as it stands in translation tables.
 std::string_view name_of(Reason reason);
 /// Returns the reason of that name, or nothing if the name is unknown.
-std::optional<Reason> reason_of(std::string_view name);
+std::optional<Reason> reason_from_name(std::string_view name);
 
 /// The kind of final answer that the caller gets. A rejection says that the call may safely be retried; a
 /// failure says only that this call is over.
-enum class Final : std::uint8_t { kRejected, kFailed };
+enum class FinalAnswerKind : std::uint8_t { kRejected, kFailed };
 
 /// Properties of a Reason.
 struct ReasonInfo {
-  Final final_answer;
-  Reason above;  ///< the more general reason, for dialects without a code for this one; a root names itself
+  FinalAnswerKind final_answer;
+  Reason
+      fallback;  ///< the more general reason, for dialects without a code for this one; a root names itself
 };
 /// Returns the properties of a reason. The roots are kCongestion for rejections and kServerFault for
 /// failures.
-const ReasonInfo& facts_of(Reason reason);
+const ReasonInfo& info_of(Reason reason);
 
 /// Whether the server may have executed the attempt that an error ended.
-enum class Ran : std::uint8_t {
-  kNo,     ///< not executed: the call may be sent to another server
-  kMaybe,  ///< possibly executed: only an idempotent call may be sent again, after the retry pause
+enum class ExecutionState : std::uint8_t {
+  kNotExecuted,      ///< not executed: the call may be sent to another server
+  kMayHaveExecuted,  ///< possibly executed: only an idempotent call may be sent again, after the retry pause
 };
 
 /// What an error applies to, and so what follows from it for other calls and other servers.
-enum class About : std::uint8_t {
+enum class ErrorScope : std::uint8_t {
   kServer,   ///< the server is faulty or full: this is reported to the decision module
   kVersion,  ///< no server that supports this protocol version can accept the call
   kCall,     ///< no server would accept the call, and none is at fault
 };
 
 /// The classification of a server error, independent of the protocol.
-struct ErrorMeaning {
+struct ErrorClassification {
   Reason reason = Reason::kServerFault;
-  Ran ran = Ran::kMaybe;
-  About about = About::kServer;
+  ExecutionState execution_state = ExecutionState::kMayHaveExecuted;
+  ErrorScope scope = ErrorScope::kServer;
 
-  friend bool operator==(const ErrorMeaning&, const ErrorMeaning&) = default;
+  friend bool operator==(const ErrorClassification&, const ErrorClassification&) = default;
 };
 
 /// What the decision module is told about a failed attempt, and whether the call may be sent again.
-struct Verdict {
+struct AttemptVerdict {
   Outcome outcome = Outcome::kError;
-  bool is_caller_fault = false;   ///< the error does not count against the server
-  bool excludes_version = false;  ///< the call must not go to any server of this protocol version
-  bool final_now = false;         ///< the call gets its final answer at once, with this reason
+  bool is_caller_fault = false;     ///< the error does not count against the server
+  bool excludes_version = false;    ///< the call must not go to any server of this protocol version
+  bool answer_immediately = false;  ///< the call gets its final answer at once, with this reason
 };
 /// Returns what follows from an error.
-Verdict verdict_of(const ErrorMeaning& meaning);
+AttemptVerdict verdict_of(const ErrorClassification& meaning);
 
 }  // namespace amberknot::core
--- a/src/core/reload_plan.cpp
+++ b/src/core/reload_plan.cpp
@@ -9,17 +9,17 @@
   return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-double class_width(const Names& names, std::size_t index) {
-  return index < names.widths.size() ? names.widths[index] : 1.0;
+double class_width(const ConfiguredNames& names, std::size_t index) {
+  return index < names.max_widths.size() ? names.max_widths[index] : 1.0;
 }
 
 }  // namespace
 
-ReloadPlan plan_reload(const Names& current_names, const Settings& current_settings, const Names& new_names,
-                       const Settings& new_settings) {
+ReloadPlan plan_reload(const ConfiguredNames& current_names, const Settings& current_settings,
+                       const ConfiguredNames& new_names, const Settings& new_settings) {
   ReloadPlan plan;
   plan.names.tenants = current_names.tenants;
-  const bool has_widths = !current_names.widths.empty() || !new_names.widths.empty();
+  const bool has_widths = !current_names.max_widths.empty() || !new_names.max_widths.empty();
   for (std::size_t i = 0; i < current_names.classes.size(); ++i) {
     const auto& name = current_names.classes[i];
     const std::size_t new_index = index_of(new_names.classes, name);
@@ -29,10 +29,10 @@
     plan.names.retired.push_back(!is_listed);
     plan.classes.push_back(is_listed ? new_settings.classes[new_index] : current_settings.classes.at(i));
     if (has_widths)
-      plan.names.widths.push_back(is_listed ? class_width(new_names, new_index)
-                                            : class_width(current_names, i));
-    if (!is_listed && !was_retired) plan.notes.push_back("class " + name + " removed");
-    if (is_listed && was_retired) plan.notes.push_back("class " + name + " restored");
+      plan.names.max_widths.push_back(is_listed ? class_width(new_names, new_index)
+                                                : class_width(current_names, i));
+    if (!is_listed && !was_retired) plan.changes.push_back("class " + name + " removed");
+    if (is_listed && was_retired) plan.changes.push_back("class " + name + " restored");
   }
   for (std::size_t j = 0; j < new_names.classes.size() && j < new_settings.classes.size(); ++j) {
     const auto& name = new_names.classes[j];
@@ -40,13 +40,14 @@
     plan.names.classes.push_back(name);
     plan.names.retired.push_back(false);
     plan.classes.push_back(new_settings.classes[j]);
-    if (has_widths) plan.names.widths.push_back(class_width(new_names, j));
-    plan.notes.push_back("class " + name + " added");
+    if (has_widths) plan.names.max_widths.push_back(class_width(new_names, j));
+    plan.changes.push_back("class " + name + " added");
   }
   plan.limits = new_settings.limits;
-  if (new_settings.limits.max_tries != current_settings.limits.max_tries) {
-    plan.notes.push_back("maximum attempts per call: " + std::to_string(current_settings.limits.max_tries) +
-                         " -> " + std::to_string(new_settings.limits.max_tries));
+  if (new_settings.limits.max_attempts != current_settings.limits.max_attempts) {
+    plan.changes.push_back(
+        "maximum attempts per call: " + std::to_string(current_settings.limits.max_attempts) + " -> " +
+        std::to_string(new_settings.limits.max_attempts));
   }
   if (new_names.tenants != current_names.tenants ||
       new_settings.tenants.size() != current_settings.tenants.size())
@@ -56,9 +57,10 @@
     plan.requires_restart.push_back("timing");
   if (!(new_settings.invariants == current_settings.invariants))
     plan.requires_restart.push_back("invariants");
-  if (new_settings.over_quota_weight != current_settings.over_quota_weight)
+  if (new_settings.over_quota_weight_factor != current_settings.over_quota_weight_factor)
     plan.requires_restart.push_back("over_share_worth");
-  if (new_settings.peer_count != current_settings.peer_count || new_settings.self != current_settings.self)
+  if (new_settings.peer_count != current_settings.peer_count ||
+      new_settings.own_id != current_settings.own_id)
     plan.requires_restart.push_back("siblings");
   return plan;
 }
--- a/src/core/reload_plan.hpp
+++ b/src/core/reload_plan.hpp
@@ -11,11 +11,11 @@
 
 /// The changes that a reload makes, and the settings that it cannot change.
 struct ReloadPlan {
-  Names names;                     ///< existing classes at their old indices, new ones after them
+  ConfiguredNames names;           ///< existing classes at their old indices, new ones after them
   std::vector<CallClass> classes;  ///< settings of the classes, in the order of `names.classes`
   Limits limits;
   std::vector<std::string>
-      notes;  ///< log text for each class added, removed or restored, and for changed limits
+      changes;  ///< log text for each class added, removed or restored, and for changed limits
   std::vector<std::string> requires_restart;  ///< changed settings that take effect only after a restart
 };
 
@@ -23,7 +23,7 @@
 /// `new_settings` is retired at its index, an added class comes last, and a retired class that is listed
 /// again gets its new settings. All limits are replaced. Both settings must have been validated, and hold one
 /// class for each name.
-ReloadPlan plan_reload(const Names& current_names, const Settings& current_settings, const Names& new_names,
-                       const Settings& new_settings);
+ReloadPlan plan_reload(const ConfiguredNames& current_names, const Settings& current_settings,
+                       const ConfiguredNames& new_names, const Settings& new_settings);
 
 }  // namespace amberknot::core
--- a/src/core/timer_wheel.cpp
+++ b/src/core/timer_wheel.cpp
@@ -4,7 +4,7 @@
 
 namespace amberknot::core {
 
-TimerWheel::Handle TimerWheel::at(Instant when, std::function<void()> callback) {
+TimerWheel::Handle TimerWheel::schedule_at(Instant when, std::function<void()> callback) {
   // Rounded up, so that a timer that is due within a tick fires at the end of that tick.
   const std::int64_t tick = std::max(tick_of(when + kTick - Duration{1}), last_fired_tick_ + 1);
   const Handle handle = next_handle_++;
--- a/src/core/timer_wheel.hpp
+++ b/src/core/timer_wheel.hpp
@@ -22,7 +22,7 @@
   explicit TimerWheel(Instant now) : slots_(kSlotCount), last_fired_tick_(tick_of(now)) {}
 
   /// Runs `callback` once, at `when`. A time in the past means the next tick.
-  Handle at(Instant when, std::function<void()> callback);
+  Handle schedule_at(Instant when, std::function<void()> callback);
   /// Cancels a timer. Has no effect once the timer has fired, or for a handle of zero.
   void cancel(Handle handle);
   /// Runs the callbacks of all timers that are due.
--- a/src/diameter/connection_pool.cpp
+++ b/src/diameter/connection_pool.cpp
@@ -63,7 +63,7 @@
                    " has restarted; its sessions are ended");
     pending_terminations.clear();
     pool.end_unanswered(*this, Outcome::kReset);
-    pool.table_.abort_all(id, "peer restarted");
+    pool.table_.abort_calls_at(id, "peer restarted");
     pool.on_change_(id, true);
   }
   void on_down(Peer& closed_peer, net::CloseReason reason) override;
@@ -89,14 +89,14 @@
   if (peer.get() != &closed_peer) return;
   const auto keep = std::exchange(peer, nullptr);
   net::log::info("diameter: connection to server ", pool.servers_.find(id)->name,
-                 " closed: ", net::name(reason));
+                 " closed: ", net::close_reason_name(reason));
   pool.on_change_(id, false);
   if (std::exchange(is_health_check_pending, false))
     pool.table_.on_health_check_result(id, Outcome::kConnectFailed, Duration::zero(), {});
   pool.end_unanswered(*this, Outcome::kReset);
-  if (reason == net::CloseReason::kRefused) pool.table_.abort_all(id, "connection refused");
+  if (reason == net::CloseReason::kConnectionRefused) pool.table_.abort_calls_at(id, "connection refused");
   if (!is_wanted || reconnect_timer != 0) return;
-  reconnect_timer = pool.loop_.after(reconnect_delay, [this] {
+  reconnect_timer = pool.loop_.run_after(reconnect_delay, [this] {
     reconnect_timer = 0;
     pool.connect(*this);
   });
@@ -140,7 +140,7 @@
   }
   if (!server.is_wanted) {
     server.pending_terminations.clear();  // the removed server holds no sessions any more
-    loop_.wheel.cancel(std::exchange(server.reconnect_timer, 0));
+    loop_.timers.cancel(std::exchange(server.reconnect_timer, 0));
   }
   if (server.is_wanted && !server.peer && server.reconnect_timer == 0) connect(server);
 }
@@ -148,7 +148,7 @@
 void ConnectionPool::forget_server(ServerId id) {
   const auto found = servers_by_id_.find(id);
   if (found == servers_by_id_.end()) return;
-  loop_.wheel.cancel(found->second->reconnect_timer);
+  loop_.timers.cancel(found->second->reconnect_timer);
   if (found->second->peer) found->second->peer->close();
   servers_by_id_.erase(found);
 }
@@ -166,7 +166,7 @@
 }
 
 void ConnectionPool::connect(Server& server) {
-  const auto address = net::read_endpoint(server.address);
+  const auto address = net::parse_endpoint(server.address);
   if (!server.is_wanted || server.peer) return;
   if (!address) {
     net::log::warn(
@@ -180,7 +180,7 @@
 
 // ---- requests of the core ---------------------------------------------------------------------------------
 
-void ConnectionPool::set_up(const core::SetUp& set_up) {
+void ConnectionPool::set_up(const core::OutgoingSetUp& set_up) {
   auto& server = find_or_add(set_up.attempt.server);
   if (!is_available(server.id)) {
     asio::post(loop_.io, [this, ref = set_up.attempt] {
@@ -191,7 +191,7 @@
   auto& peer = *server.peer;
   Attempt attempt{set_up.attempt, {}, 0, false};
   // The format of RFC 6733, section 8.8: host, start time of the router, and parts that never repeat.
-  attempt.session_id = identity_.host + ";" + std::to_string(identity_.state_id) + ";" +
+  attempt.session_id = identity_.host + ";" + std::to_string(identity_.origin_state_id) + ";" +
                        std::to_string(static_cast<std::uint32_t>(set_up.attempt.call)) + ";" +
                        std::to_string(set_up.attempt.attempt) + ";" + std::string(set_up.id);
   auto ccr = peer.request(Command::kCreditControl, kCreditControlApplication, &attempt.hop_by_hop);
@@ -207,21 +207,21 @@
   });
   ccr.add_parameter(ServiceParameter::kDescription, set_up.description);
   ccr.add_parameter(ServiceParameter::kWaitMs,
-                    std::to_string(std::chrono::duration_cast<milliseconds>(set_up.wait).count()));
+                    std::to_string(std::chrono::duration_cast<milliseconds>(set_up.answer_timeout).count()));
   server.calls_by_hop_by_hop[attempt.hop_by_hop] = set_up.attempt.call;
   server.calls_by_session[attempt.session_id] = set_up.attempt.call;
   server.attempts[set_up.attempt.call] = std::move(attempt);
   peer.send(ccr, tag(set_up.attempt));
 }
 
-bool ConnectionPool::cancel(const core::AttemptRef& ref) {
+bool ConnectionPool::cancel(const core::AttemptId& ref) {
   auto& server = find_or_add(ref.server);
   const auto* attempt = find_attempt(server, ref);
   if (attempt == nullptr) return false;
   const std::string session_id = attempt->session_id;
   erase_attempt(server, ref.call);
-  if (server.peer && server.peer->is_up() && server.peer->stream().take_back(tag(ref))) {
-    ++counters_.withdrawn;
+  if (server.peer && server.peer->is_up() && server.peer->stream().withdraw(tag(ref))) {
+    ++counters_.withdrawn_set_ups;
     return true;
   }
   // Credit-Control has no cancel: the session is terminated, and once more if a success answer crosses this.
@@ -229,7 +229,7 @@
   return false;
 }
 
-void ConnectionPool::release(const core::AttemptRef& ref, core::Cause /*cause*/) {
+void ConnectionPool::release(const core::AttemptId& ref, core::Cause /*cause*/) {
   auto& server = find_or_add(ref.server);
   const auto* attempt = find_attempt(server, ref);
   if (attempt == nullptr) return;
@@ -238,7 +238,7 @@
   terminate_session(server, session_id);
 }
 
-void ConnectionPool::forget(const core::AttemptRef& ref) {
+void ConnectionPool::forget_attempt(const core::AttemptId& ref) {
   auto& server = find_or_add(ref.server);
   if (find_attempt(server, ref) != nullptr) erase_attempt(server, ref.call);
 }
@@ -256,7 +256,7 @@
   server.peer->send_watchdog();
 }
 
-ConnectionPool::Attempt* ConnectionPool::find_attempt(Server& server, const core::AttemptRef& ref) {
+ConnectionPool::Attempt* ConnectionPool::find_attempt(Server& server, const core::AttemptId& ref) {
   const auto found = server.attempts.find(ref.call);
   return found != server.attempts.end() && found->second.ref.attempt == ref.attempt ? &found->second
                                                                                     : nullptr;
@@ -291,20 +291,20 @@
 // connection is never written.
 void ConnectionPool::withdraw_queued(Server& server) {
   if (!server.peer || !server.peer->is_up()) return;
-  std::vector<core::AttemptRef> withdrawn;
+  std::vector<core::AttemptId> withdrawn;
   for (const auto& [call, attempt] : server.attempts) {
-    if (!attempt.is_established && server.peer->stream().take_back(tag(attempt.ref)))
+    if (!attempt.is_established && server.peer->stream().withdraw(tag(attempt.ref)))
       withdrawn.push_back(attempt.ref);
   }
   for (const auto& ref : withdrawn) {
-    ++counters_.withdrawn;
+    ++counters_.withdrawn_set_ups;
     erase_attempt(server, ref.call);
     table_.on_attempt_ended(ref, {Outcome::kNotSent, core::Cause::kOutOfOrder, false, {}});
   }
 }
 
 void ConnectionPool::end_unanswered(Server& server, Outcome outcome) {
-  std::vector<core::AttemptRef> unanswered;
+  std::vector<core::AttemptId> unanswered;
   for (const auto& [call, attempt] : server.attempts) {
     if (!attempt.is_established) unanswered.push_back(attempt.ref);
   }
--- a/src/diameter/connection_pool.hpp
+++ b/src/diameter/connection_pool.hpp
@@ -31,17 +31,17 @@
   [[nodiscard]] bool is_available(ServerId server) const override;
   void shut_down() override;
 
-  void set_up(const core::SetUp& set_up) override;
-  bool cancel(const core::AttemptRef& attempt) override;
-  void release(const core::AttemptRef& attempt, core::Cause cause) override;
-  void forget(const core::AttemptRef& attempt) override;
+  void set_up(const core::OutgoingSetUp& set_up) override;
+  bool cancel(const core::AttemptId& attempt) override;
+  void release(const core::AttemptId& attempt, core::Cause cause) override;
+  void forget_attempt(const core::AttemptId& attempt) override;
   void check_health(ServerId server) override;
 
  private:
   struct Server;
   /// An attempt to set up a call at a server, and the session that results from it.
   struct Attempt {
-    core::AttemptRef ref;
+    core::AttemptId ref;
     std::string session_id;
     std::uint32_t hop_by_hop = 0;
     bool is_established = false;
@@ -51,7 +51,7 @@
   Server& find_or_add(ServerId id);
   void connect(Server& server);
   /// Returns the attempt, or null if it is over.
-  Attempt* find_attempt(Server& server, const core::AttemptRef& attempt);
+  Attempt* find_attempt(Server& server, const core::AttemptId& attempt);
   /// Removes the attempt of a call without a message to anyone.
   void erase_attempt(Server& server, CallId call);
   /// Ends a session at its server: now, or when the connection is up again.
@@ -63,7 +63,7 @@
   void on_answer(Server& server, const Message& message);
   void on_abort(Server& server, const Message& message);
   /// Marks the queued request of an attempt, so that it can be withdrawn.
-  static net::TcpConnection::Tag tag(const core::AttemptRef& attempt) {
+  static net::TcpConnection::Tag tag(const core::AttemptId& attempt) {
     return (static_cast<net::TcpConnection::Tag>(attempt.call) << 8U) + attempt.attempt + 1;
   }
 
--- a/src/diameter/frontend.cpp
+++ b/src/diameter/frontend.cpp
@@ -28,15 +28,16 @@
 /// Returns the Result-Code that tells a client why a call failed.
 ResultCode result_of(core::Reason reason) {
   static const auto& dialect = *translate::find_dialect("diameter");
-  return static_cast<ResultCode>(translate::word_for(dialect, reason).code);
+  return static_cast<ResultCode>(translate::code_for_reason(dialect, reason).code);
 }
 
 }  // namespace
 
 Frontend::Frontend(net::Loop& loop, core::CallTable& table, core::Counters& counters, Identity& identity,
-                   const core::Names& names, const Settings& settings, const asio::ip::tcp::endpoint& listen,
-                   std::size_t max_connections, std::set<std::string> allowed_hosts, TenantLookup find_tenant,
-                   PoolLookup find_pool, const translate::Translator* translator)
+                   const core::ConfiguredNames& names, const Settings& settings,
+                   const asio::ip::tcp::endpoint& listen, std::size_t max_connections,
+                   std::set<std::string> allowed_hosts, TenantLookup find_tenant, PoolLookup find_pool,
+                   const translate::Translator* translator)
     : loop_(loop),
       table_(table),
       counters_(counters),
@@ -50,7 +51,7 @@
       find_tenant_(std::move(find_tenant)),
       find_pool_(std::move(find_pool)),
       translator_(translator),
-      dialect_index_(translator != nullptr ? translator->client_no("diameter").value() : 0) {
+      dialect_index_(translator != nullptr ? translator->client_dialect_index("diameter").value() : 0) {
   accept();
 }
 
@@ -112,7 +113,7 @@
         AvpCode::kAuthApplicationId, AvpCode::kServiceContextId, AvpCode::kCcRequestType,
         AvpCode::kCcRequestNumber}) {
     if (message.find(code) != nullptr) continue;
-    ++counters_.malformed;
+    ++counters_.malformed_set_ups;
     reply(peer, message, {ResultCode::kMissingAvp, missing_avp(code)});
     return;
   }
@@ -122,7 +123,7 @@
   } else if (type == RequestType::kUpdate || type == RequestType::kTermination) {
     on_update_or_termination(peer, message, type);
   } else {
-    ++counters_.malformed;
+    ++counters_.malformed_set_ups;
     reply(peer, message, {ResultCode::kInvalidAvpValue, avp_or_example(message, AvpCode::kCcRequestType)});
   }
 }
@@ -136,7 +137,7 @@
     return;
   }
   const auto context = message.text(AvpCode::kServiceContextId);
-  const auto class_index = names_.class_no(context.substr(0, context.find('@')));
+  const auto class_index = names_.class_index(context.substr(0, context.find('@')));
   std::string_view number;
   if (const auto* subscription = message.find(AvpCode::kSubscriptionId)) {
     Message group_message;
@@ -148,13 +149,13 @@
   const auto tenant_name = find_tenant_(user_name);
   const auto tenant = std::find(names_.tenants.begin(), names_.tenants.end(), tenant_name);
   const auto wait_text = message.parameter(ServiceParameter::kWaitMs);
-  const double wait_ms = wait_text ? settings::number_of(*wait_text).value_or(-1.0) : -1.0;
+  const double wait_ms = wait_text ? settings::parse_number(*wait_text).value_or(-1.0) : -1.0;
   Fault fault;
   if (!class_index) {
     fault = {ResultCode::kInvalidAvpValue, avp_or_example(message, AvpCode::kServiceContextId)};
   } else if (message.find(AvpCode::kSubscriptionId) == nullptr) {
     fault = {ResultCode::kMissingAvp, missing_avp(AvpCode::kSubscriptionId)};
-  } else if (!core::is_number_called(number)) {
+  } else if (!core::is_valid_called_number(number)) {
     fault = {ResultCode::kInvalidAvpValue, avp_or_example(message, AvpCode::kSubscriptionId)};
   } else if (wait_text && (wait_ms < 0 || wait_ms > 86'400'000)) {
     fault = {ResultCode::kInvalidAvpValue, avp_or_example(message, AvpCode::kServiceParameterInfo)};
@@ -164,50 +165,50 @@
     fault = {ResultCode::kTooBusy, {}};
   }
   if (fault.is_set()) {
-    ++counters_.malformed;
+    ++counters_.malformed_set_ups;
     reply(peer, message, fault);
     return;
   }
-  core::NewSetUp set_up;
+  core::SetUpRequest set_up;
   // Session servers identify calls by 16 hex digits.
   char call_id[17];
-  std::snprintf(call_id, sizeof call_id, "%08x%08x", identity_.state_id, next_call_number_++);
+  std::snprintf(call_id, sizeof call_id, "%08x%08x", identity_.origin_state_id, next_call_number_++);
   set_up.id = call_id;
   set_up.call_class = names_.classes[*class_index];
   set_up.number = number;
   set_up.description = message.parameter(ServiceParameter::kDescription).value_or(std::string_view());
-  set_up.facts.call_class = *class_index;
-  set_up.facts.tenant = static_cast<std::size_t>(tenant - names_.tenants.begin());
+  set_up.request.call_class = *class_index;
+  set_up.request.tenant = static_cast<std::size_t>(tenant - names_.tenants.begin());
   // Without a wait parameter, the call's deadline is that of its class.
   const Duration max_wait = wait_text ? Duration{static_cast<std::int64_t>(wait_ms * 1000.0)}
-                                      : settings_.classes[set_up.facts.call_class].deadline;
-  set_up.facts.expires = net::Loop::now() + max_wait;
-  set_up.facts.first_choice = find_pool_(message.text(AvpCode::kDestinationHost));
+                                      : settings_.classes[set_up.request.call_class].deadline;
+  set_up.request.expires = net::Loop::now() + max_wait;
+  set_up.request.preferred_pool = find_pool_(message.text(AvpCode::kDestinationHost));
   if (translator_ != nullptr) {
     using translate::Meaning;
     auto message = std::make_unique<translate::Message>(
-        dialect_index_, translator_->client(dialect_index_).of(translate::Kind::kSetUp));
+        dialect_index_, translator_->client_dialect(dialect_index_).of(translate::MessageKind::kSetUp));
     message->set(Meaning::kCall, set_up.id);
     message->set(Meaning::kClass, set_up.call_class);
     message->set(Meaning::kNumber, set_up.number);
     message->set(Meaning::kTenant, tenant_name);
     message->set(Meaning::kDescription, set_up.description);
-    message->set(Meaning::kPatience, max_wait.count() / 1000);
-    set_up.facts.excluded_versions = translator_->rule(*message, scratch_);
+    message->set(Meaning::kRemainingWait, max_wait.count() / 1000);
+    set_up.request.excluded_versions = translator_->ineligible_dialects(*message, scratch_);
     set_up.message = std::move(message);
   }
-  const CallId call = table_.admit(*this, std::move(set_up));
+  const CallId call = table_.add_call(*this, std::move(set_up));
   // Only the parts of the request that the answer repeats are kept.
-  auto kept_request =
+  auto request_parts =
       Writer::request(Command::kCreditControl, message.application, message.hop_by_hop, message.end_to_end);
-  kept_request.add(AvpCode::kSessionId, id);
+  request_parts.add(AvpCode::kSessionId, id);
   for (const auto& avp : message.avps) {
     const auto code = static_cast<AvpCode>(avp.code);
     if (code == AvpCode::kProxyInfo || code == AvpCode::kCcRequestType || code == AvpCode::kCcRequestNumber) {
-      kept_request.add_raw(avp.encoded);
+      request_parts.add_raw(avp.encoded);
     }
   }
-  sessions_[id] = {call, peer.host(), peer.shared_from_this(), kept_request.finish(), false, false};
+  sessions_[id] = {call, peer.host(), peer.shared_from_this(), request_parts.finish(), false, false};
   session_ids_by_call_[call] = id;
   table_.route(call);
 }
@@ -246,7 +247,7 @@
 
 bool Frontend::answer_initial_request(Session& session, ResultCode result,
                                       const std::function<void(Writer&)>& fill) {
-  const auto read = read_message(session.request, net::kMaxMessage);
+  const auto read = read_message(session.request, net::kMaxMessageBytes);
   if (!session.peer) return false;
   auto writer = session.peer->answer(read.message, {result, {}});
   writer.add(AvpCode::kAuthApplicationId, kCreditControlApplication);
@@ -256,7 +257,7 @@
   }
   if (fill) fill(writer);
   auto bytes = writer.finish();
-  if (bytes.size() > net::kMaxMessage) return false;
+  if (bytes.size() > net::kMaxMessageBytes) return false;
   session.is_answered = true;
   session.peer->stream().send(std::move(bytes));
   return true;
@@ -299,7 +300,7 @@
   session.is_aborted = true;
   session.peer.reset();
   session_ids_by_call_.erase(found);
-  loop_.after(kAbortedSessionRetention, [this, id] {
+  loop_.run_after(kAbortedSessionRetention, [this, id] {
     const auto expired = sessions_.find(id);
     if (expired != sessions_.end() && expired->second.is_aborted) sessions_.erase(expired);
   });
@@ -352,7 +353,7 @@
 }
 
 void Frontend::on_down(Peer& peer, net::CloseReason reason) {
-  net::log::info("diameter: connection of client ", peer.host(), " closed: ", net::name(reason));
+  net::log::info("diameter: connection of client ", peer.host(), " closed: ", net::close_reason_name(reason));
   const auto closed_peer = peer.shared_from_this();
   peers_.erase(&peer);
   std::vector<std::string> abandoned_ids;
--- a/src/diameter/frontend.hpp
+++ b/src/diameter/frontend.hpp
@@ -28,9 +28,10 @@
   /// Listens at `listen`. `allowed_hosts` holds the Origin-Hosts that may connect; if it is empty, any may.
   /// `translator` may be null.
   Frontend(net::Loop& loop, core::CallTable& table, core::Counters& counters, Identity& identity,
-           const core::Names& names, const Settings& settings, const asio::ip::tcp::endpoint& listen,
-           std::size_t max_connections, std::set<std::string> allowed_hosts, TenantLookup find_tenant,
-           PoolLookup find_pool, const translate::Translator* translator = nullptr);
+           const core::ConfiguredNames& names, const Settings& settings,
+           const asio::ip::tcp::endpoint& listen, std::size_t max_connections,
+           std::set<std::string> allowed_hosts, TenantLookup find_tenant, PoolLookup find_pool,
+           const translate::Translator* translator = nullptr);
   ~Frontend() override;
 
   bool answer(CallId call, std::string_view description) override;
@@ -39,7 +40,7 @@
   void release(CallId call, core::Cause cause) override;
 
   [[nodiscard]] std::string listen_address() const override {
-    return net::text_of(acceptor_.local_endpoint());
+    return net::to_text(acceptor_.local_endpoint());
   }
   [[nodiscard]] std::size_t connections() const override { return peers_.size(); }
   void shut_down() override;
@@ -83,7 +84,7 @@
   core::CallTable& table_;
   core::Counters& counters_;
   Identity& identity_;
-  const core::Names& names_;
+  const core::ConfiguredNames& names_;
   const Settings& settings_;
   asio::ip::tcp::acceptor acceptor_;
   asio::steady_timer accept_retry_timer_;
--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -25,7 +25,7 @@
 
 void Peer::adopt(asio::ip::tcp::socket socket) {
   stream_ = std::make_shared<net::TcpConnection>(loop_, *this);
-  stream_->adopt(std::move(socket));
+  stream_->start_accepted(std::move(socket));
 }
 
 Writer Peer::request(Command command, std::uint32_t application, std::uint32_t* hop_by_hop) {
@@ -48,16 +48,16 @@
 
 void Peer::on_open(net::TcpConnection& /*stream*/) {
   // The capabilities exchange must be the first exchange and end within its limit.
-  timer_ = loop_.after(identity_.capabilities_timeout, [this, self = shared_from_this()] {
+  timer_ = loop_.run_after(identity_.capabilities_timeout, [this, self = shared_from_this()] {
     timer_ = 0;
-    fail(CloseReason::kNeverUp);
+    fail(CloseReason::kConnectFailed);
   });
   if (!is_initiator_) return;
   auto cer = request(Command::kCapabilitiesExchange, kBaseApplication);
   add_origin(cer).add_address(AvpCode::kHostIpAddress, stream_->remote().address().to_string());
   cer.add(AvpCode::kVendorId, 0U)
       .add(AvpCode::kProductName, "amberknot")
-      .add(AvpCode::kOriginStateId, identity_.state_id);
+      .add(AvpCode::kOriginStateId, identity_.origin_state_id);
   cer.add(AvpCode::kAuthApplicationId, kCreditControlApplication);
   send(cer);
 }
@@ -66,13 +66,13 @@
   const auto self = shared_from_this();
   std::size_t consumed = 0;
   while (consumed < bytes.size()) {
-    const auto read = read_message({bytes.data() + consumed, bytes.size() - consumed}, net::kMaxMessage);
+    const auto read = read_message({bytes.data() + consumed, bytes.size() - consumed}, net::kMaxMessageBytes);
     if (read.state == ReadResult::State::kIncomplete) break;
     if (read.state == ReadResult::State::kTooLong) {
-      ++counters_.unreadable;
+      ++counters_.unreadable_messages;
       net::log::warn("diameter: message from ", stream.remote(),
                      " exceeds the maximum length; connection closed");
-      fail(CloseReason::kOverrun);
+      fail(CloseReason::kLimitExceeded);
       return bytes.size();
     }
     on_message_read(read);
@@ -90,7 +90,7 @@
     return;
   }
   if (read.fault.is_set()) {
-    ++counters_.malformed;
+    ++counters_.malformed_set_ups;
     net::log::warn("diameter: invalid message with command ", message.command, " from ", host_,
                    ", Result-Code ", static_cast<std::uint32_t>(read.fault.result));
     if (message.is_request) {
@@ -158,7 +158,7 @@
   cea.add_address(AvpCode::kHostIpAddress, stream_->remote().address().to_string());
   cea.add(AvpCode::kVendorId, 0U)
       .add(AvpCode::kProductName, "amberknot")
-      .add(AvpCode::kOriginStateId, identity_.state_id);
+      .add(AvpCode::kOriginStateId, identity_.origin_state_id);
   cea.add(AvpCode::kAuthApplicationId, kCreditControlApplication);
   send(cea);
   if (fault.is_set()) {
@@ -174,7 +174,7 @@
 void Peer::mark_up() {
   is_up_ = true;
   net::log::info("diameter: ", host_, " is up");
-  loop_.wheel.cancel(timer_);
+  loop_.timers.cancel(timer_);
   start_watchdog_timer();
   handler_.on_up(*this);
 }
@@ -182,7 +182,8 @@
 void Peer::on_base_message(const Message& message) {
   if (message.is_request) {
     auto writer = answer(message, {ResultCode::kSuccess, {}});
-    if (message.has_command(Command::kWatchdog)) writer.add(AvpCode::kOriginStateId, identity_.state_id);
+    if (message.has_command(Command::kWatchdog))
+      writer.add(AvpCode::kOriginStateId, identity_.origin_state_id);
     send(writer);
     if (message.has_command(Command::kDisconnect) && !std::exchange(is_disconnecting_, true)) {
       net::log::info("diameter: ", host_, " sent a disconnect request, cause ",
@@ -192,7 +193,7 @@
     return;
   }
   if (message.has_command(Command::kDisconnect)) {
-    fail(CloseReason::kEnded);
+    fail(CloseReason::kClosedByPeer);
     return;
   }
   if (!std::exchange(is_watchdog_pending_, false)) return;
@@ -215,9 +216,9 @@
 
 void Peer::start_watchdog_timer() {
   static std::minstd_rand random{std::random_device{}()};
-  const auto max_offset = identity_.jitter.count();
+  const auto max_offset = identity_.watchdog_jitter.count();
   const Duration offset{std::uniform_int_distribution<std::int64_t>(-max_offset, max_offset)(random)};
-  timer_ = loop_.after(identity_.watchdog + offset, [this, self = shared_from_this()] {
+  timer_ = loop_.run_after(identity_.watchdog_interval + offset, [this, self = shared_from_this()] {
     timer_ = 0;
     on_watchdog_timer();
   });
@@ -230,12 +231,12 @@
 void Peer::on_watchdog_timer() {
   if (!is_watchdog_pending_) {
     send_watchdog();
-  } else if (Loop::now() - watchdog_sent_at_ < identity_.watchdog - identity_.jitter) {
+  } else if (Loop::now() - watchdog_sent_at_ < identity_.watchdog_interval - identity_.watchdog_jitter) {
     // A health check sent the DWR between two timer events: its time to answer is not over yet.
   } else if (std::exchange(is_healthy_, false)) {
     net::log::warn("diameter: ", host_, " did not answer a watchdog request in time; no new calls go to it");
     handler_.on_health_changed(*this, false);
-  } else if (Loop::now() - last_received_at_ >= identity_.watchdog) {
+  } else if (Loop::now() - last_received_at_ >= identity_.watchdog_interval) {
     net::log::warn("diameter: ", host_, " sent nothing for a whole watchdog interval; connection closed");
     fail(CloseReason::kReset);
     return;
@@ -252,7 +253,7 @@
   is_watchdog_pending_ = true;
   watchdog_sent_at_ = Loop::now();
   auto dwr = request(Command::kWatchdog, kBaseApplication);
-  add_origin(dwr).add(AvpCode::kOriginStateId, identity_.state_id);
+  add_origin(dwr).add(AvpCode::kOriginStateId, identity_.origin_state_id);
   send(dwr);
 }
 
@@ -264,7 +265,7 @@
 }
 
 void Peer::close() {
-  loop_.wheel.cancel(std::exchange(timer_, 0));
+  loop_.timers.cancel(std::exchange(timer_, 0));
   is_up_ = false;
   if (stream_) stream_->close();
 }
@@ -277,7 +278,7 @@
 
 void Peer::on_closed(net::TcpConnection& /*stream*/, CloseReason reason) {
   const auto self = shared_from_this();
-  loop_.wheel.cancel(std::exchange(timer_, 0));
+  loop_.timers.cancel(std::exchange(timer_, 0));
   is_up_ = false;
   handler_.on_down(*this, reason);
 }
--- a/src/diameter/peer.hpp
+++ b/src/diameter/peer.hpp
@@ -18,15 +18,15 @@
 struct Identity {
   std::string host;
   std::string realm;
-  std::uint32_t state_id = 0;                    ///< Origin-State-Id; higher after each start of the router
-  Duration watchdog = std::chrono::seconds{30};  ///< Tw of RFC 3539
-  Duration jitter = std::chrono::seconds{2};     ///< Tw varies at random by up to this much either way
+  std::uint32_t origin_state_id = 0;  ///< Origin-State-Id; higher after each start of the router
+  Duration watchdog_interval = std::chrono::seconds{30};  ///< Tw of RFC 3539
+  Duration watchdog_jitter = std::chrono::seconds{2};  ///< Tw varies at random by up to this much either way
   Duration capabilities_timeout = std::chrono::seconds{5};  ///< for the whole capabilities exchange
   std::uint32_t next_end_to_end = 0;
 };
 
 /// A connection with one Diameter peer, opened by either side. It lives in the loop's thread.
-class Peer : public net::TcpConnection::Owner, public std::enable_shared_from_this<Peer> {
+class Peer : public net::TcpConnection::EventHandler, public std::enable_shared_from_this<Peer> {
  public:
   /// Receives the events of a connection.
   class Handler {
--- a/src/directory/tenants.cpp
+++ b/src/directory/tenants.cpp
@@ -53,7 +53,7 @@
     return fail("url", code);
   const Session ldap(handle);
   const int version = LDAP_VERSION3;
-  auto timeout = to_timeval(source.timeout);
+  auto timeout = to_timeval(source.query_timeout);
   ldap_set_option(ldap.get(), LDAP_OPT_PROTOCOL_VERSION, &version);
   ldap_set_option(ldap.get(), LDAP_OPT_NETWORK_TIMEOUT, &timeout);
   ldap_set_option(ldap.get(), LDAP_OPT_TIMEOUT, &timeout);
@@ -71,7 +71,7 @@
   char* attributes[] = {key.data(), tenant.data(), nullptr};
   LDAPMessage* found = nullptr;
   const int search_code =
-      ldap_search_ext_s(ldap.get(), source.base.c_str(), LDAP_SCOPE_SUBTREE, source.filter.c_str(),
+      ldap_search_ext_s(ldap.get(), source.base_dn.c_str(), LDAP_SCOPE_SUBTREE, source.filter.c_str(),
                         attributes, 0, nullptr, nullptr, &timeout, LDAP_NO_LIMIT, &found);
   const std::unique_ptr<LDAPMessage, FreeMessage> found_owner(found);
   // A partial result is rejected: clients that it misses would be taken for unknown.
@@ -90,10 +90,10 @@
   return tenants;
 }
 
-Refresher::Refresher(LdapSource source, OnRead on_read)
+TenantRefresher::TenantRefresher(LdapSource source, OnRead on_read)
     : source_(std::move(source)), on_read_(std::move(on_read)), thread_([this] { run(); }) {}
 
-Refresher::~Refresher() {
+TenantRefresher::~TenantRefresher() {
   {
     const std::lock_guard lock(mutex_);
     is_stopping_ = true;
@@ -102,9 +102,9 @@
   thread_.join();
 }
 
-void Refresher::run() {
+void TenantRefresher::run() {
   std::unique_lock lock(mutex_);
-  while (!wake_.wait_for(lock, source_.refresh, [this] { return is_stopping_; })) {
+  while (!wake_.wait_for(lock, source_.refresh_interval, [this] { return is_stopping_; })) {
     lock.unlock();
     std::string error;
     auto tenants = read_tenants(source_, error);
--- a/src/directory/tenants.hpp
+++ b/src/directory/tenants.hpp
@@ -20,15 +20,15 @@
 
 /// The directory and the search in it.
 struct LdapSource {
-  std::string url;   ///< ldap:// or ldaps://
-  std::string base;  ///< distinguished name of the subtree to search
+  std::string url;      ///< ldap:// or ldaps://
+  std::string base_dn;  ///< distinguished name of the subtree to search
   std::string filter = "(objectClass=*)";
   std::string bind_dn;        ///< empty for an anonymous bind
   std::string password_file;  ///< its first line is read at each refresh, so that the password can be changed
   std::string key_attribute;  ///< holds the names of a client; each of its values is a key
-  std::string tenant_attribute;               ///< holds the tenant; the first value counts
-  std::chrono::milliseconds timeout{2000};    ///< for each operation
-  std::chrono::milliseconds refresh{60'000};  ///< time between two reads
+  std::string tenant_attribute;                        ///< holds the tenant; the first value counts
+  std::chrono::milliseconds query_timeout{2000};       ///< for each operation
+  std::chrono::milliseconds refresh_interval{60'000};  ///< time between two reads
 };
 
 /// Reads the whole directory; blocks. Returns nullopt and sets `error` if the read failed or its result is
@@ -37,13 +37,13 @@
 
 /// Reads the directory at intervals on its own thread, on which the callback is called, too. The destructor
 /// waits for a read that is in progress.
-class Refresher {
+class TenantRefresher {
  public:
   using OnRead = std::function<void(std::optional<TenantMap> tenants, const std::string& error)>;
-  Refresher(LdapSource source, OnRead on_read);
-  ~Refresher();
-  Refresher(const Refresher&) = delete;
-  Refresher& operator=(const Refresher&) = delete;
+  TenantRefresher(LdapSource source, OnRead on_read);
+  ~TenantRefresher();
+  TenantRefresher(const TenantRefresher&) = delete;
+  TenantRefresher& operator=(const TenantRefresher&) = delete;
 
  private:
   void run();
--- a/src/discovery/endpoint_update.cpp
+++ b/src/discovery/endpoint_update.cpp
@@ -17,21 +17,21 @@
 }
 
 std::uint32_t parse_pool(const rapidjson::Value& endpoint) {
-  const auto pool = settings::number_of(settings::text_in(endpoint, "group")).value_or(0);
+  const auto pool = settings::parse_number(settings::member_string(endpoint, "group")).value_or(0);
   return pool >= 0 && pool < kPoolLimit ? static_cast<std::uint32_t>(pool) : 0;
 }
 
 /// Returns nothing if the entry has no name or an unknown state.
 std::optional<core::EndpointChange> parse_change(const rapidjson::Value& endpoint) {
-  const auto state = parse_state(settings::text_in(endpoint, "status"));
+  const auto state = parse_state(settings::member_string(endpoint, "status"));
   core::EndpointChange change;
-  change.name = settings::text_in(endpoint, "name");
+  change.name = settings::member_string(endpoint, "name");
   if (!state || change.name.empty()) return std::nullopt;
-  change.address = settings::text_in(endpoint, "address");
+  change.address = settings::member_string(endpoint, "address");
   change.pool = parse_pool(endpoint);
   change.state = *state;
-  change.started_unix_ms =
-      static_cast<std::int64_t>(settings::number_of(settings::text_in(endpoint, "since_ms")).value_or(0));
+  change.started_unix_ms = static_cast<std::int64_t>(
+      settings::parse_number(settings::member_string(endpoint, "since_ms")).value_or(0));
   return change;
 }
 
@@ -45,16 +45,16 @@
 
 std::optional<EndpointUpdate> parse_endpoint_update(const rapidjson::Value& event) {
   EndpointUpdate update;
-  const auto cursor = settings::number_of(settings::text_in(event, "cursor"));
+  const auto cursor = settings::parse_number(settings::member_string(event, "cursor"));
   if (!cursor || *cursor < 0) return std::nullopt;
-  update.cursor = static_cast<std::uint64_t>(*cursor);
-  const auto* nodes = settings::member(event, "nodes");
+  update.event_number = static_cast<std::uint64_t>(*cursor);
+  const auto* nodes = settings::find_member(event, "nodes");
   if (nodes == nullptr) return update;  // not an event about the endpoint list
-  const auto* snapshot = settings::member(*nodes, "snapshot");
-  update.whole_list = snapshot != nullptr && snapshot->IsTrue();
-  const auto* endpoints = settings::member(*nodes, "endpoints");
+  const auto* snapshot = settings::find_member(*nodes, "snapshot");
+  update.is_full_list = snapshot != nullptr && snapshot->IsTrue();
+  const auto* endpoints = settings::find_member(*nodes, "endpoints");
   if (endpoints == nullptr || !endpoints->IsArray()) return std::nullopt;
-  update.has_servers = true;
+  update.has_endpoint_list = true;
   for (const auto& endpoint : endpoints->GetArray()) {
     if (auto change = parse_change(endpoint)) update.changes.push_back(std::move(*change));
   }
--- a/src/discovery/endpoint_update.hpp
+++ b/src/discovery/endpoint_update.hpp
@@ -14,9 +14,9 @@
 
 /// One event of the command channel.
 struct EndpointUpdate {
-  std::uint64_t cursor = 0;  ///< the event's number; later events have higher numbers
-  bool whole_list = false;   ///< `changes` is the full list: endpoints that it does not name are removed
-  bool has_servers = false;  ///< false if the event does not concern the endpoint list
+  std::uint64_t event_number = 0;  ///< the event's number; later events have higher numbers
+  bool is_full_list = false;  ///< `changes` is the full list: endpoints that it does not name are removed
+  bool has_endpoint_list = false;  ///< false if the event does not concern the endpoint list
   std::vector<core::EndpointChange> changes;
 };
 
