--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -21,7 +21,7 @@
 constexpr unsigned kHttpOk = 200;
 
 std::optional<std::uint64_t> parse_event_id(const settings::SseEvent& event) {
-  const auto id = settings::number_of(event.id);
+  const auto id = settings::parse_number(event.id);
   if (!id || *id < 0) return std::nullopt;
   return static_cast<std::uint64_t>(*id);
 }
@@ -54,7 +54,7 @@
                  "; will reconnect and resume after event ", last_event_id_);
   cancel_timers();
   if (stream_) stream_->close();
-  reconnect_timer_ = loop_.after(kReconnectDelay, [this] {
+  reconnect_timer_ = loop_.run_after(kReconnectDelay, [this] {
     reconnect_timer_ = 0;
     connect();
   });
@@ -72,13 +72,13 @@
 }
 
 void EndpointWatcher::cancel_timers() {
-  loop_.wheel.cancel(std::exchange(idle_timer_, 0));
-  loop_.wheel.cancel(std::exchange(reconnect_timer_, 0));
+  loop_.timers.cancel(std::exchange(idle_timer_, 0));
+  loop_.timers.cancel(std::exchange(reconnect_timer_, 0));
 }
 
 void EndpointWatcher::restart_idle_timer() {
-  loop_.wheel.cancel(idle_timer_);
-  idle_timer_ = loop_.after(kIdleTimeout, [this] {
+  loop_.timers.cancel(idle_timer_);
+  idle_timer_ = loop_.run_after(kIdleTimeout, [this] {
     idle_timer_ = 0;
     schedule_reconnect("silent");
   });
@@ -107,7 +107,7 @@
   if (has_response_ended_) {
     schedule_reconnect("ended");
   } else if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parsed != bytes.size()) {
-    ++counters_.unreadable;
+    ++counters_.unreadable_messages;
     net::log::warn("discovery: cannot parse the HTTP response of the command channel: ",
                    http_errno_description(HTTP_PARSER_ERRNO(&parser_)));
     schedule_reconnect("unreadable");
@@ -116,7 +116,7 @@
 }
 
 void EndpointWatcher::on_closed(net::TcpConnection& /*stream*/, net::CloseReason reason) {
-  schedule_reconnect(name(reason));
+  schedule_reconnect(close_reason_name(reason));
 }
 
 int EndpointWatcher::on_response_headers(http_parser* parser) {
@@ -147,7 +147,7 @@
     return;
   }
   // The SSE id is the event's number; it takes precedence over the cursor in the data.
-  if (const auto id = parse_event_id(event)) update->cursor = *id;
+  if (const auto id = parse_event_id(event)) update->event_number = *id;
   consecutive_unreadable_events_ = 0;
   apply_update(*update);
 }
@@ -155,7 +155,7 @@
 void EndpointWatcher::on_unreadable_event(const settings::SseEvent& event) {
   // The event was most likely damaged in transit: it is requested again, and skipped only if it remains
   // unreadable.
-  ++counters_.unreadable;
+  ++counters_.unreadable_messages;
   is_requesting_again_ = ++consecutive_unreadable_events_ <= kMaxRepeatedRequests;
   net::log::warn(
       "discovery: command channel event ", event.id, " cannot be parsed",
@@ -167,8 +167,8 @@
 }
 
 void EndpointWatcher::apply_update(const EndpointUpdate& update) {
-  if (update.cursor <= last_event_id_) return;
-  last_event_id_ = update.cursor;
+  if (update.event_number <= last_event_id_) return;
+  last_event_id_ = update.event_number;
   ++counters_.endpoint_events;
   on_update_(update);
 }
--- a/src/discovery/endpoint_watcher.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -21,7 +21,7 @@
 /// lost or reported twice. If the connection is idle for 2.5 s, is closed or carries data that cannot be
 /// parsed, the fault is logged and a new connection is opened after 100 ms. Throws nothing. Used on the event
 /// loop's thread only.
-class EndpointWatcher : public net::TcpConnection::Owner {
+class EndpointWatcher : public net::TcpConnection::EventHandler {
  public:
   /// Called on the event loop's thread with each new update, in the order of their numbers.
   using OnUpdate = std::function<void(const EndpointUpdate&)>;
@@ -61,7 +61,7 @@
   OnUpdate on_update_;
   std::shared_ptr<net::TcpConnection> stream_;
   http_parser parser_{};
-  settings::SseReader reader_;
+  settings::SseParser reader_;
   bool has_response_ended_ = false;
   bool has_connected_before_ = false;
   /// Set when an unreadable event has to be requested again: later events on this connection are ignored.
--- a/src/discovery/gossip_transport.cpp
+++ b/src/discovery/gossip_transport.cpp
@@ -11,7 +11,7 @@
 GossipTransport::GossipTransport(net::Loop& loop, const asio::ip::udp::endpoint& listen,
                                  std::vector<asio::ip::udp::endpoint> peers,
                                  asio::ip::udp::endpoint broadcast_address, OnMessage on_message)
-    : socket_(net::shared_datagrams(loop.io, listen)),
+    : socket_(net::shared_datagram_socket(loop.io, listen)),
       peers_(std::move(peers)),
       broadcast_address_(std::move(broadcast_address)),
       on_message_(std::move(on_message)) {
--- a/src/hot_restart/undelivered_releases.cpp
+++ b/src/hot_restart/undelivered_releases.cpp
@@ -74,7 +74,7 @@
   writer.Key("caller");
   writer.String(release.caller.c_str());
   writer.Key("id");
-  writer.String(release.id.c_str());
+  writer.String(release.call_id.c_str());
   writer.Key("cause");
   writer.Int(release.cause);
   writer.EndObject();
@@ -90,7 +90,7 @@
   if (id == end || !id->value.IsString()) return std::nullopt;
   if (cause == end || !cause->value.IsInt()) return std::nullopt;
   return core::UndeliveredRelease{
-      .caller = caller->value.GetString(), .id = id->value.GetString(), .cause = cause->value.GetInt()};
+      .caller = caller->value.GetString(), .call_id = id->value.GetString(), .cause = cause->value.GetInt()};
 }
 
 }  // namespace
--- a/src/http2/body.cpp
+++ b/src/http2/body.cpp
@@ -36,7 +36,7 @@
   for (std::size_t i = 0; i < fields.size(); ++i) {
     if (!record.has(i)) continue;
     writer.Key(fields[i].name.c_str(), static_cast<rapidjson::SizeType>(fields[i].name.size()));
-    if (translate::is_textual(fields[i].type)) {
+    if (translate::is_text(fields[i].type)) {
       const auto field_text = record.text(i);
       writer.String(field_text.data(), static_cast<rapidjson::SizeType>(field_text.size()));
     } else {
@@ -105,7 +105,7 @@
     const auto found = impl_->document.FindMember(fields[i].name.c_str());
     if (found == impl_->document.MemberEnd()) continue;
     if (found->value.IsString()) {
-      if (settings::has_lone_surrogate(settings::text_of(found->value))) {
+      if (settings::has_lone_surrogate(settings::string_value(found->value))) {
         fault = fields[i].name + ": is not valid Unicode: it has an unpaired surrogate";
         return false;
       }
@@ -118,7 +118,7 @@
     }
   }
   // A field's length limit counts bytes here and characters in the schema; the body has to meet both.
-  if (const auto invalid_field = translate::fault_in(fields, target)) {
+  if (const auto invalid_field = translate::find_invalid_field(fields, target)) {
     fault = fields[*invalid_field].name + ": is missing, or its value is not allowed for this field";
     return false;
   }
@@ -129,14 +129,14 @@
                              std::string& fault) {
   const auto& dialect = *translate::find_dialect(version == 1 ? "session-1" : "session-2");
   return parse(body, version == 1 ? "set-up-1" : "set-up-2", fault) &&
-         read_record(dialect.of(translate::Kind::kSetUp), target, fault);
+         read_record(dialect.of(translate::MessageKind::kSetUp), target, fault);
 }
 
 bool BodyReader::read_answer(std::uint32_t version, std::span<char> body, translate::Record& target,
                              std::string& fault) {
   const auto& dialect = *translate::find_dialect(version == 1 ? "session-1" : "session-2");
   return parse(body, version == 1 ? "answer-1" : "answer-2", fault) &&
-         read_record(dialect.of(translate::Kind::kAnswer), target, fault);
+         read_record(dialect.of(translate::MessageKind::kAnswer), target, fault);
 }
 
 std::optional<Problem> BodyReader::read_problem(std::span<char> body, std::string& fault) {
--- a/src/http2/connection.cpp
+++ b/src/http2/connection.cpp
@@ -67,7 +67,7 @@
   if (!has_capacity() || exchanges_by_key_.contains(key)) return false;
   static const std::string kMethod = ":method", kScheme = ":scheme", kHttp = "http",
                            kAuthority = ":authority", kPath = ":path";
-  const std::string authority = net::text_of(tcp_->remote());
+  const std::string authority = net::to_text(tcp_->remote());
   std::vector<nghttp2_nv> fields = {header_field(kMethod, request.method), header_field(kScheme, kHttp),
                                     header_field(kAuthority, authority), header_field(kPath, request.path)};
   for (const auto& [name, value] : request.headers) fields.push_back(header_field(name, value));
@@ -114,7 +114,7 @@
 }
 
 void Connection::close() {
-  loop_.wheel.cancel(std::exchange(timer_, 0));
+  loop_.timers.cancel(std::exchange(timer_, 0));
   exchanges_by_key_.clear();
   exchanges_by_stream_.clear();
   pending_events_.clear();
@@ -156,7 +156,7 @@
   if (tcp.is_closed()) return bytes.size();
   // After a connection error nghttp2 has sent GOAWAY and wants neither to read nor to write.
   if (nghttp2_session_want_read(session_.get()) == 0 && nghttp2_session_want_write(session_.get()) == 0) {
-    tcp.fail(net::CloseReason::kEnded);
+    tcp.fail(net::CloseReason::kClosedByPeer);
   }
   return bytes.size();
 }
@@ -170,7 +170,7 @@
 
 void Connection::on_closed(net::TcpConnection& tcp, net::CloseReason reason) {
   const auto self = shared_from_this();
-  loop_.wheel.cancel(std::exchange(timer_, 0));
+  loop_.timers.cancel(std::exchange(timer_, 0));
   std::vector<RequestKey> unsent;
   for (const auto& message : tcp.take_unsent()) {
     if (message.tag != 0) unsent.push_back(message.tag - 1);
@@ -373,13 +373,13 @@
 // ---- timer ----------------------------------------------------------------------------------------------
 
 void Connection::start_timer() {
-  timer_ = loop_.after(kTimerInterval, [this] {
+  timer_ = loop_.run_after(kTimerInterval, [this] {
     timer_ = 0;
     const auto self = shared_from_this();
     const Instant now = net::Loop::now();
     if (!up_ && now - connect_started_at_ > limits_.connect_timeout) {
       // The TCP connection is open but no SETTINGS arrived: the server does not speak HTTP/2.
-      tcp_->fail(net::CloseReason::kNeverUp);
+      tcp_->fail(net::CloseReason::kConnectFailed);
       return;
     }
     check_ping();
--- a/src/http2/connection.hpp
+++ b/src/http2/connection.hpp
@@ -42,7 +42,7 @@
 };
 
 /// Owned by a shared_ptr. All methods are called on the thread of the event loop.
-class Connection : public net::TcpConnection::Owner, public std::enable_shared_from_this<Connection> {
+class Connection : public net::TcpConnection::EventHandler, public std::enable_shared_from_this<Connection> {
  public:
   /// Identifies a request. The owner chooses it and never uses it twice on one connection.
   using RequestKey = std::uint64_t;
@@ -73,9 +73,9 @@
   };
 
   struct Limits {
-    std::size_t max_streams = 64;                  ///< outstanding requests, even if the server allows more
-    std::size_t max_head_size = 8 * 1024;          ///< bytes of a response's header fields, with their names
-    std::size_t max_body_size = net::kMaxMessage;  ///< bytes of a response's body
+    std::size_t max_streams = 64;          ///< outstanding requests, even if the server allows more
+    std::size_t max_head_size = 8 * 1024;  ///< bytes of a response's header fields, with their names
+    std::size_t max_body_size = net::kMaxMessageBytes;  ///< bytes of a response's body
     /// Until the connection is established, and until the server's SETTINGS have arrived.
     Duration connect_timeout = std::chrono::milliseconds{500};
     /// Between the PINGs of an open connection.
@@ -111,7 +111,7 @@
   [[nodiscard]] bool is_healthy() const { return healthy_; }
   [[nodiscard]] std::size_t outstanding_requests() const { return exchanges_by_key_.size(); }
   /// Whether output waits to be written to the socket.
-  [[nodiscard]] bool is_blocked() const { return tcp_->queued() > 0; }
+  [[nodiscard]] bool is_blocked() const { return tcp_->queued_bytes() > 0; }
 
  private:
   /// A request and its response, on one HTTP/2 stream.
@@ -139,7 +139,7 @@
     int status = 0;
     std::string chunk = {};
     bool healthy = true;
-    net::CloseReason reason = net::CloseReason::kEnded;
+    net::CloseReason reason = net::CloseReason::kClosedByPeer;
   };
 
   void on_open(net::TcpConnection& tcp) override;
--- a/src/http2/connection_pool.cpp
+++ b/src/http2/connection_pool.cpp
@@ -13,9 +13,9 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using translate::DialectNo;
-using translate::Kind;
+using translate::DialectIndex;
 using translate::Meaning;
+using translate::MessageKind;
 
 // Connections kept open to each server, and the most it gets when set-ups wait.
 constexpr std::size_t kMinConnectionsPerServer = 2;
@@ -26,7 +26,7 @@
 // decision module gets it back.
 constexpr int kMaxMoves = 3;
 // Tries per release. They are limited because a server may hold a session that nobody can release.
-constexpr int kMaxReleaseTries = 20;
+constexpr int kMaxReleaseAttempts = 20;
 constexpr Duration kReleaseRetryInterval = milliseconds{300};
 // No set-up or release is sent to a server for this long after it reset a stream with ENHANCE_YOUR_CALM.
 constexpr Duration kCalmPause = seconds{1};
@@ -44,7 +44,7 @@
   return result;
 }
 
-core::AttemptEnd make_error(const core::ErrorMeaning& meaning,
+core::AttemptEnd make_error(const core::ErrorClassification& meaning,
                             std::optional<Duration> retry_after = std::nullopt) {
   auto result = make_end(Outcome::kError);
   result.error = meaning;
@@ -95,7 +95,7 @@
   std::vector<std::shared_ptr<PooledConnection>> connections;
   std::deque<CallId> waiting_set_ups;  // calls whose set-up has not been sent, oldest first
   std::map<std::string, PendingRelease> pending_releases;
-  Instant paused_until{};  // no set-ups or releases before this, after ENHANCE_YOUR_CALM
+  Instant sending_resumes_at{};  // no set-ups or releases before this, after ENHANCE_YOUR_CALM
   core::TimerWheel::Handle reconnect_timer = 0;
   core::TimerWheel::Handle pause_timer = 0;
   core::TimerWheel::Handle release_retry_timer = 0;
@@ -105,7 +105,7 @@
   core::TimerWheel::Handle event_stream_timer = 0;
   std::uint64_t last_event_id = 0;
   bool has_last_event_id = false;
-  settings::SseReader sse_reader{net::kMaxMessage};
+  settings::SseParser sse_reader{net::kMaxMessageBytes};
   std::deque<std::string> sessions_to_check;
   core::TimerWheel::Handle check_timer = 0;
 };
@@ -144,15 +144,15 @@
       versions_({}, [&translator] {
         // Only versions of the session API can be learned by asking the server.
         std::vector<std::uint32_t> ranks;
-        for (std::size_t i = 0; i < translator.servers(); ++i) {
-          const auto& dialect = translator.server(static_cast<DialectNo>(i));
+        for (std::size_t i = 0; i < translator.server_dialect_count(); ++i) {
+          const auto& dialect = translator.server_dialect(static_cast<DialectIndex>(i));
           ranks.push_back(dialect.name.rfind("session-", 0) == 0 ? dialect.version : 0);
         }
         return ranks;
       }()) {}
 
 ConnectionPool::~ConnectionPool() {
-  loop_.wheel.cancel(version_timer_);
+  loop_.timers.cancel(version_timer_);
   for (auto& [id, server] : servers_by_id_) {
     cancel_timers(*server);
     for (auto& pooled : server->connections) pooled->connection->close();
@@ -162,7 +162,7 @@
 void ConnectionPool::cancel_timers(const Server& server) {
   for (const auto timer : {server.reconnect_timer, server.pause_timer, server.release_retry_timer,
                            server.event_stream_timer, server.check_timer}) {
-    loop_.wheel.cancel(timer);
+    loop_.timers.cancel(timer);
   }
 }
 
@@ -193,7 +193,7 @@
     for (const auto& pooled : removed) {
       // The server's state has changed already, so the outstanding attempts are ended here and not by the
       // connection's handler.
-      std::vector<core::AttemptRef> lost_attempts;
+      std::vector<core::AttemptId> lost_attempts;
       for (const auto& [call, attempt] : attempts_) {
         if (attempt.pooled == pooled.get()) lost_attempts.push_back(attempt.ref);
       }
@@ -207,13 +207,13 @@
   if (!server.listed) {
     server.pending_releases.clear();
     server.sessions_to_check.clear();
-    loop_.wheel.cancel(std::exchange(server.reconnect_timer, 0));
-    versions_.gone(server.id);
+    loop_.timers.cancel(std::exchange(server.reconnect_timer, 0));
+    versions_.on_server_removed(server.id);
     return;
   }
   translate::Versions::Actions actions;
-  versions_.listed(net::Loop::now(), server.id, server.address, server.started_unix_ms,
-                   configured_version_(server.name), actions);
+  versions_.on_server_listed(net::Loop::now(), server.id, server.address, server.started_unix_ms,
+                             configured_version_(server.name), actions);
   apply_version_actions(std::move(actions));
   maintain_connections(server);
 }
@@ -228,14 +228,14 @@
     forget_outstanding(server, *pooled);
   }
   connection_count_ -= server.connections.size();
-  versions_.gone(id);
+  versions_.on_server_removed(id);
   servers_by_id_.erase(found);
 }
 
 bool ConnectionPool::is_available(ServerId id) const {
   const auto found = servers_by_id_.find(id);
   if (found == servers_by_id_.end()) return false;
-  return versions_.speaks(id).has_value() && !found->second->draining;
+  return versions_.dialect_of(id).has_value() && !found->second->draining;
 }
 
 void ConnectionPool::forget_outstanding(Server& server, const PooledConnection& pooled) {
@@ -252,7 +252,7 @@
   for (const auto call : waiting_calls) {
     const auto found = attempts_.find(call);
     if (found == attempts_.end()) continue;
-    ++counters_.withdrawn;
+    ++counters_.withdrawn_set_ups;
     end_attempt(found->second.ref, make_end(Outcome::kNotSent, core::Cause::kOutOfOrder));
   }
 }
@@ -263,7 +263,7 @@
   // output, so the connection is closed if it stays blocked.
   for (const auto& pooled : server.connections) {
     if (!pooled->connection->is_blocked()) continue;
-    loop_.after(kBlockedDrainTimeout, [this, id = server.id, number = pooled->number] {
+    loop_.run_after(kBlockedDrainTimeout, [this, id = server.id, number = pooled->number] {
       const auto found = servers_by_id_.find(id);
       if (found == servers_by_id_.end() || found->second->ready) return;
       for (const auto& candidate : std::vector(found->second->connections)) {
@@ -281,11 +281,11 @@
     const auto found = servers_by_id_.find(action.server);
     if (found == servers_by_id_.end()) continue;
     auto& server = *found->second;
-    if (action.what == translate::VersionAction::What::kChanged) {
+    if (action.kind == translate::VersionAction::Kind::kChanged) {
       if (auto* endpoint = endpoints_.find(server.id))
-        endpoint->version = action.dialect.value_or(core::kNotKnown);
+        endpoint->version = action.dialect.value_or(core::kUnknownVersion);
       net::log::info("session api: ", server.name, " speaks ",
-                     action.dialect ? translator_.server(*action.dialect).name
+                     action.dialect ? translator_.server_dialect(*action.dialect).name
                                     : std::string("no known version; no set-ups are sent to it"));
       // The decision module is told first: withdrawn set-ups are placed again at once and must not go to this
       // server.
@@ -307,12 +307,12 @@
 }
 
 void ConnectionPool::schedule_version_tick() {
-  const auto next_tick = versions_.next_tick();
+  const auto next_tick = versions_.next_timer();
   if (!next_tick || version_timer_ != 0) return;
-  version_timer_ = loop_.wheel.at(std::min(*next_tick, net::Loop::now() + seconds{1}), [this] {
+  version_timer_ = loop_.timers.schedule_at(std::min(*next_tick, net::Loop::now() + seconds{1}), [this] {
     version_timer_ = 0;
     translate::Versions::Actions actions;
-    versions_.tick(net::Loop::now(), actions);
+    versions_.on_timer(net::Loop::now(), actions);
     apply_version_actions(std::move(actions));
   });
 }
@@ -333,17 +333,17 @@
 }
 
 void ConnectionPool::connect(Server& server) {
-  const auto remote = net::read_endpoint(server.address);
+  const auto remote = net::parse_endpoint(server.address);
   if (!remote) {
     net::log::warn("session api: not connecting, server address is not IP:port: ", server.address);
     return;
   }
-  if (connection_count_ >= resource_limits_.upstream_connections && !server.connections.empty()) return;
+  if (connection_count_ >= resource_limits_.max_upstream_connections && !server.connections.empty()) return;
   if (server.connections.size() >= kMaxConnectionsPerServer + kMinConnectionsPerServer)
     return;  // the excess is for connections that are going away
   Connection::Limits limits;
   limits.connect_timeout = connect_timeout_;
-  limits.max_streams = resource_limits_.streams_of_one;
+  limits.max_streams = resource_limits_.max_http2_requests_per_connection;
   auto pooled = std::make_shared<PooledConnection>(*this, server, next_connection_number_++);
   pooled->connection = std::make_shared<Connection>(loop_, *pooled, limits);
   server.connections.push_back(pooled);
@@ -356,7 +356,7 @@
   pooled.up_since = net::Loop::now();
   server.reconnect_backoff = kMinReconnectBackoff;
   translate::Versions::Actions actions;
-  versions_.connected(pooled.up_since, server.id, pooled.number, actions);
+  versions_.on_connected(pooled.up_since, server.id, pooled.number, actions);
   apply_version_actions(std::move(actions));
   if (server.event_stream_key == 0) open_event_stream(server);
   send_waiting(server);
@@ -371,8 +371,9 @@
   server.connections.erase(position);
   --connection_count_;
   const bool was_up = closed.up_since != Instant{};
-  net::log::info(connection_log_, "session api: connection to ", server.name, " closed: ", net::name(reason));
-  versions_.disconnected(net::Loop::now(), server.id, closed.number);
+  net::log::info(connection_log_, "session api: connection to ", server.name,
+                 " closed: ", net::close_reason_name(reason));
+  versions_.on_disconnected(net::Loop::now(), server.id, closed.number);
   schedule_version_tick();
   if (!server.listed) return;
   if (!was_up && server.connections.empty()) {
@@ -382,11 +383,12 @@
       const auto attempt = attempts_.find(call);
       if (attempt != attempts_.end()) end_attempt(attempt->second.ref, make_end(Outcome::kConnectFailed));
     }
-    if (reason == net::CloseReason::kRefused) call_table_.abort_all(server.id, "connection refused");
+    if (reason == net::CloseReason::kConnectionRefused)
+      call_table_.abort_calls_at(server.id, "connection refused");
   }
   if (server.reconnect_timer != 0) return;
   server.reconnect_timer =
-      loop_.after(was_up ? kMinReconnectBackoff / 10 : server.reconnect_backoff, [this, &server] {
+      loop_.run_after(was_up ? kMinReconnectBackoff / 10 : server.reconnect_backoff, [this, &server] {
         server.reconnect_timer = 0;
         maintain_connections(server);
       });
@@ -407,7 +409,7 @@
 // Sends waiting requests while connections have capacity. Releases go first, because they free sessions that
 // other calls wait for.
 void ConnectionPool::send_waiting(Server& server) {
-  if (net::Loop::now() < server.paused_until) return;
+  if (net::Loop::now() < server.sending_resumes_at) return;
   for (auto& [id, release] : server.pending_releases) {
     if (release.outstanding) continue;
     auto* pooled = pick_connection(server);
@@ -415,7 +417,7 @@
     const RequestKey key = next_key_++;
     outstanding_[key] = {RequestKind::kRelease, {}, id, net::Loop::now(), pooled->number};
     release.outstanding = true;
-    ++release.tries;
+    ++release.attempts;
     const auto cause = std::to_string(static_cast<int>(release.cause));
     pooled->connection->request(key, {"DELETE", "/sessions/" + id + "?cause=" + cause});
   }
@@ -426,7 +428,8 @@
       continue;
     }
     auto& attempt = found->second;
-    auto* pooled = outstanding_.size() < resource_limits_.streams ? pick_connection(server) : nullptr;
+    auto* pooled =
+        outstanding_.size() < resource_limits_.max_http2_requests ? pick_connection(server) : nullptr;
     if (pooled == nullptr) break;
     server.waiting_set_ups.pop_front();
     attempt.request_key = next_key_++;
@@ -434,7 +437,7 @@
     attempt.sent_at = net::Loop::now();
     outstanding_[attempt.request_key] = {RequestKind::kSetUp, attempt.ref.call, attempt.id, attempt.sent_at,
                                          pooled->number};
-    const auto version = std::to_string(translator_.server(attempt.version).version);
+    const auto version = std::to_string(translator_.server_dialect(attempt.version).version);
     pooled->connection->request(attempt.request_key,
                                 {"POST",
                                  "/sessions",
@@ -452,32 +455,34 @@
 
 // ---- requests of the core -------------------------------------------------------------------------------
 
-void ConnectionPool::set_up(const core::SetUp& set_up) {
+void ConnectionPool::set_up(const core::OutgoingSetUp& set_up) {
   auto& server = find_or_add_server(set_up.attempt.server);
-  const auto version = versions_.speaks(server.id);
+  const auto version = versions_.dialect_of(server.id);
   const auto* message = dynamic_cast<const translate::Message*>(set_up.message);
   if (!version || message == nullptr || !server.listed) {
     end_attempt_later(set_up.attempt, make_end(Outcome::kNotSent, core::Cause::kOutOfOrder));
     return;
   }
-  const auto* mapping = translator_.mapping(message->client(), *version);
-  const auto translation = mapping->set_up.run(message->record(), translated_);
+  const auto* mapping = translator_.mapping(message->client_dialect(), *version);
+  const auto translation = mapping->set_up.translate_record(message->record(), translated_);
   if (!translation) {
     // Versions that cannot take the call were excluded when it arrived, but the server has changed its
     // version since.
     end_attempt_later(set_up.attempt,
-                      make_error({core::Reason::kNoCompatibleServer, core::Ran::kNo, core::About::kVersion}));
+                      make_error({core::Reason::kNoCompatibleServer, core::ExecutionState::kNotExecuted,
+                                  core::ErrorScope::kVersion}));
     return;
   }
-  const auto& fields = translator_.server(*version).of(Kind::kSetUp);
-  const auto patience_ms = std::chrono::duration_cast<milliseconds>(set_up.wait).count();
-  translated_.set(translate::index_of(fields, Meaning::kPatience), std::max<std::int64_t>(patience_ms, 1));
+  const auto& fields = translator_.server_dialect(*version).of(MessageKind::kSetUp);
+  const auto answer_timeout_ms = std::chrono::duration_cast<milliseconds>(set_up.answer_timeout).count();
+  translated_.set(translate::index_of(fields, Meaning::kRemainingWait),
+                  std::max<std::int64_t>(answer_timeout_ms, 1));
   Attempt attempt;
   attempt.ref = set_up.attempt;
   attempt.id = set_up.id;
   attempt.body = write_body(fields, translated_);
   attempt.version = *version;
-  attempt.client_dialect = message->client();
+  attempt.client_dialect = message->client_dialect();
   calls_by_session_[{server.id, attempt.id}] = set_up.attempt.call;
   versions_.pin(set_up.attempt.call, *version);
   attempts_[set_up.attempt.call] = std::move(attempt);
@@ -486,13 +491,13 @@
   send_waiting(server);
 }
 
-bool ConnectionPool::cancel(const core::AttemptRef& ref) {
+bool ConnectionPool::cancel(const core::AttemptId& ref) {
   auto* attempt = find_attempt(ref);
   if (attempt == nullptr) return false;
   auto& server = find_or_add_server(ref.server);
   const std::string id = attempt->id;
   if (attempt->pooled == nullptr) {
-    ++counters_.withdrawn;
+    ++counters_.withdrawn_set_ups;
     std::erase(server.waiting_set_ups, ref.call);
     remove_attempt(ref.call);
     return true;
@@ -507,7 +512,7 @@
   return false;
 }
 
-void ConnectionPool::release(const core::AttemptRef& ref, core::Cause cause) {
+void ConnectionPool::release(const core::AttemptId& ref, core::Cause cause) {
   auto* attempt = find_attempt(ref);
   if (attempt == nullptr) return;
   const std::string id = attempt->id;
@@ -515,13 +520,14 @@
   delete_session(find_or_add_server(ref.server), id, cause);
 }
 
-void ConnectionPool::forget(const core::AttemptRef& ref) {
+void ConnectionPool::forget_attempt(const core::AttemptId& ref) {
   if (find_attempt(ref) != nullptr) remove_attempt(ref.call);
 }
 
 // A lost release would leave the session established for good, so it is kept until the server confirms it.
 void ConnectionPool::delete_session(Server& server, const std::string& id, core::Cause cause) {
-  if (!server.listed || server.pending_releases.size() >= resource_limits_.waiting_of_one) return;
+  if (!server.listed || server.pending_releases.size() >= resource_limits_.max_undelivered_releases_per_peer)
+    return;
   server.pending_releases[id] = {cause, false, 0};
   send_waiting(server);
 }
@@ -529,13 +535,13 @@
 void ConnectionPool::on_release_ended(Server& server, const std::string& id, bool confirmed) {
   const auto found = server.pending_releases.find(id);
   if (found == server.pending_releases.end()) return;
-  if (confirmed || found->second.tries >= kMaxReleaseTries) {
+  if (confirmed || found->second.attempts >= kMaxReleaseAttempts) {
     server.pending_releases.erase(found);
     return;
   }
   found->second.outstanding = false;
   if (server.release_retry_timer != 0) return;
-  server.release_retry_timer = loop_.after(kReleaseRetryInterval, [this, &server] {
+  server.release_retry_timer = loop_.run_after(kReleaseRetryInterval, [this, &server] {
     server.release_retry_timer = 0;
     send_waiting(server);
   });
@@ -553,15 +559,15 @@
     return;
   }
   const RequestKey key = next_key_++;
-  outstanding_[key] = {RequestKind::kHealthProbe, {}, {}, net::Loop::now(), pooled->number};
+  outstanding_[key] = {RequestKind::kHealthCheck, {}, {}, net::Loop::now(), pooled->number};
   pooled->connection->request(key, {"GET", "/versions", {{"accept", "application/json"}}});
-  loop_.after(milliseconds{250}, [this, id, key] {
+  loop_.run_after(milliseconds{250}, [this, id, key] {
     if (outstanding_.erase(key) == 0) return;
     call_table_.on_health_check_result(id, Outcome::kTimeout, milliseconds{250}, {});
   });
 }
 
-ConnectionPool::Attempt* ConnectionPool::find_attempt(const core::AttemptRef& ref) {
+ConnectionPool::Attempt* ConnectionPool::find_attempt(const core::AttemptId& ref) {
   const auto found = attempts_.find(ref.call);
   if (found == attempts_.end() || found->second.ref.attempt != ref.attempt ||
       found->second.ref.server != ref.server) {
@@ -579,13 +585,13 @@
   attempts_.erase(found);
 }
 
-void ConnectionPool::end_attempt(core::AttemptRef ref, core::AttemptEnd attempt_end) {
+void ConnectionPool::end_attempt(core::AttemptId ref, core::AttemptEnd attempt_end) {
   if (find_attempt(ref) == nullptr) return;
   remove_attempt(ref.call);
   call_table_.on_attempt_ended(ref, attempt_end);
 }
 
-void ConnectionPool::end_attempt_later(core::AttemptRef ref, core::AttemptEnd attempt_end) {
+void ConnectionPool::end_attempt_later(core::AttemptId ref, core::AttemptEnd attempt_end) {
   asio::post(loop_.io, [this, ref, attempt_end] { call_table_.on_attempt_ended(ref, attempt_end); });
 }
 
@@ -605,17 +611,18 @@
     case RequestKind::kRelease:
       on_release_ended(server, request.id, response.status == 204 || response.status == 404);
       break;
-    case RequestKind::kHealthProbe:
+    case RequestKind::kHealthCheck:
       call_table_.on_health_check_result(
           server.id, response.status == 503 || response.status == 429 ? Outcome::kFull : Outcome::kOk,
           net::Loop::now() - request.sent_at, {});
       break;
     case RequestKind::kVersions: {
-      std::vector<DialectNo> spoken;
+      std::vector<DialectIndex> supported;
       std::string process;
       if (response.status == 404) {
         // A server of version 1 does not have this path.
-        if (const auto version_1 = translator_.server_no("session-1")) spoken.push_back(*version_1);
+        if (const auto version_1 = translator_.server_dialect_index("session-1"))
+          supported.push_back(*version_1);
       } else if (response.status == 200) {
         const auto versions_body = reader_.read_versions({response.body.data(), response.body.size()}, fault);
         if (!versions_body) {
@@ -624,8 +631,8 @@
           return;
         }
         for (const auto version : versions_body->versions) {
-          if (const auto dialect = translator_.server_no("session-" + std::to_string(version)))
-            spoken.push_back(*dialect);
+          if (const auto dialect = translator_.server_dialect_index("session-" + std::to_string(version)))
+            supported.push_back(*dialect);
         }
         process = versions_body->process;
       } else {
@@ -634,11 +641,11 @@
       if (!server.process_name.empty() && process != server.process_name) {
         net::log::warn("session api: ", server.name,
                        " was replaced by a new process; sessions established before are aborted");
-        call_table_.abort_sent_before(server.id, pooled.up_since, "process replaced");
+        call_table_.abort_calls_sent_before(server.id, pooled.up_since, "process replaced");
       }
       server.process_name = process;
       translate::Versions::Actions actions;
-      versions_.told(net::Loop::now(), server.id, pooled.number, process, spoken, actions);
+      versions_.on_versions_received(net::Loop::now(), server.id, pooled.number, process, supported, actions);
       apply_version_actions(std::move(actions));
       send_waiting(server);
       break;
@@ -659,7 +666,7 @@
   auto& attempt = found->second;
   auto& server = pooled.server;
   const auto ref = attempt.ref;
-  const auto& dialect = translator_.server(attempt.version);
+  const auto& dialect = translator_.server_dialect(attempt.version);
   std::string fault;
   if (response.status != 201) {
     std::string type;
@@ -672,7 +679,7 @@
     const auto meaning = translate::meaning_of(dialect, static_cast<std::uint32_t>(response.status), type);
     translate::Versions::Actions actions;
     if (response.status == 505) {
-      versions_.denied(net::Loop::now(), server.id, pooled.number, attempt.version, actions);
+      versions_.on_version_rejected(net::Loop::now(), server.id, pooled.number, attempt.version, actions);
     }
     // The decision module learns first that the version is not spoken any more, because the call may have to
     // wait until the server has been asked again.
@@ -686,26 +693,27 @@
     net::log::warn(invalid_message_log_, "session api: set-up answer of ", server.name, " to ", attempt.id,
                    " is invalid; the session is released: ", fault);
     const std::string id = attempt.id;
-    end_attempt(ref, make_error({core::Reason::kServerFault, core::Ran::kMaybe, core::About::kServer}));
+    end_attempt(ref, make_error({core::Reason::kServerFault, core::ExecutionState::kMayHaveExecuted,
+                                 core::ErrorScope::kServer}));
     delete_session(server, id, core::Cause::kInvalidContents);
     return;
   }
   const auto* mapping = translator_.mapping(attempt.client_dialect, attempt.version);
-  const auto translation = mapping->answer.run(record_, translated_);
-  const auto& fields = dialect.of(Kind::kAnswer);
+  const auto translation = mapping->answer.translate_record(record_, translated_);
+  const auto& fields = dialect.of(MessageKind::kAnswer);
   const bool is_same_session = record_.text(translate::index_of(fields, Meaning::kCall)) == attempt.id;
   if (!translation || !is_same_session) {
     // The session is established, but its answer cannot be translated for the client or names another
     // session. The session is released and the attempt fails.
     ++counters_.malformed_answers;
     const std::string id = attempt.id;
-    end_attempt(ref,
-                make_error({is_same_session ? core::Reason::kFieldRejected : core::Reason::kServerFault,
-                            core::Ran::kMaybe, is_same_session ? core::About::kCall : core::About::kServer}));
+    end_attempt(ref, make_error({is_same_session ? core::Reason::kFieldRejected : core::Reason::kServerFault,
+                                 core::ExecutionState::kMayHaveExecuted,
+                                 is_same_session ? core::ErrorScope::kCall : core::ErrorScope::kServer}));
     delete_session(server, id, core::Cause::kInvalidContents);
     return;
   }
-  const auto& client_fields = translator_.client(attempt.client_dialect).of(Kind::kAnswer);
+  const auto& client_fields = translator_.client_dialect(attempt.client_dialect).of(MessageKind::kAnswer);
   const std::string description(translated_.text(translate::index_of(client_fields, Meaning::kDescription)));
   attempt.established = true;
   attempt.pooled = nullptr;
@@ -728,9 +736,9 @@
   outstanding_.erase(found);
   auto& server = pooled.server;
   if (failure == Failure::kEnhanceYourCalm) {
-    server.paused_until = net::Loop::now() + kCalmPause;
+    server.sending_resumes_at = net::Loop::now() + kCalmPause;
     if (server.pause_timer == 0) {
-      server.pause_timer = loop_.after(kCalmPause, [this, &server] {
+      server.pause_timer = loop_.run_after(kCalmPause, [this, &server] {
         server.pause_timer = 0;
         send_waiting(server);
       });
@@ -744,21 +752,23 @@
       const std::string id = attempt.id;
       switch (failure) {
         case Failure::kNotProcessed:
-          end_attempt(attempt.ref,
-                      make_error({core::Reason::kServerFault, core::Ran::kNo, core::About::kServer}));
+          end_attempt(attempt.ref, make_error({core::Reason::kServerFault, core::ExecutionState::kNotExecuted,
+                                               core::ErrorScope::kServer}));
           break;
         case Failure::kEnhanceYourCalm:
           end_attempt(attempt.ref,
-                      make_error({core::Reason::kCongestion, core::Ran::kMaybe, core::About::kServer}));
+                      make_error({core::Reason::kCongestion, core::ExecutionState::kMayHaveExecuted,
+                                  core::ErrorScope::kServer}));
           break;
         case Failure::kTooLarge:
           end_attempt(attempt.ref,
-                      make_error({core::Reason::kServerFault, core::Ran::kMaybe, core::About::kServer}));
+                      make_error({core::Reason::kServerFault, core::ExecutionState::kMayHaveExecuted,
+                                  core::ErrorScope::kServer}));
           delete_session(server, id, core::Cause::kInvalidContents);
           break;
         case Failure::kReset:
-          end_attempt(attempt.ref,
-                      make_error({core::Reason::kAborted, core::Ran::kMaybe, core::About::kServer}));
+          end_attempt(attempt.ref, make_error({core::Reason::kAborted, core::ExecutionState::kMayHaveExecuted,
+                                               core::ErrorScope::kServer}));
           // After a reset the session may or may not be established.
           delete_session(server, id, core::Cause::kTemporaryFailure);
           break;
@@ -775,7 +785,7 @@
       server.sessions_to_check.push_back(request.id);
       check_sessions(server);
       break;
-    case RequestKind::kHealthProbe:
+    case RequestKind::kHealthCheck:
       call_table_.on_health_check_result(server.id, Outcome::kReset, net::Loop::now() - request.sent_at, {});
       break;
     case RequestKind::kVersions:
@@ -793,7 +803,7 @@
   Request request{"GET", "/events", {{"accept", "text/event-stream"}}, {}, true};
   if (server.has_last_event_id)
     request.headers.emplace_back("last-event-id", std::to_string(server.last_event_id));
-  server.sse_reader = settings::SseReader(net::kMaxMessage);
+  server.sse_reader = settings::SseParser(net::kMaxMessageBytes);
   server.event_stream_key = key;
   outstanding_[key] = {RequestKind::kEvents, {}, {}, net::Loop::now(), pooled->number};
   pooled->connection->request(key, request);
@@ -806,7 +816,7 @@
     server.event_stream_key = 0;
   }
   if (!server.listed || server.event_stream_timer != 0) return;
-  server.event_stream_timer = loop_.after(kEventStreamRetryInterval, [this, &server] {
+  server.event_stream_timer = loop_.run_after(kEventStreamRetryInterval, [this, &server] {
     server.event_stream_timer = 0;
     open_event_stream(server);
     // No connection has capacity yet; tries again later.
@@ -829,7 +839,7 @@
       server.sse_reader.feed(chunk, [&](const settings::SseEvent& event) { on_event(server, event); });
   if (is_accepted && server.event_stream_key == key) return true;
   if (!is_accepted) {
-    ++counters_.unreadable;
+    ++counters_.unreadable_messages;
     net::log::warn(invalid_message_log_, "session api: an event of ", server.name,
                    " exceeds the size limit; the event stream is opened again");
   }
@@ -854,7 +864,7 @@
     server.has_last_event_id = true;
   }
   if (!session_event) {
-    ++counters_.unreadable;
+    ++counters_.unreadable_messages;
     net::log::warn(invalid_message_log_, "session api: event ", event.id, " of ", server.name,
                    " is invalid; all sessions of the server are checked: ", fault);
     // The event may have reported a session's end, so all sessions of this server are checked.
@@ -911,7 +921,7 @@
 
 void ConnectionPool::check_sessions(Server& server) {
   if (server.check_timer != 0 || server.sessions_to_check.empty()) return;
-  server.check_timer = loop_.after(kSessionCheckInterval, [this, &server] {
+  server.check_timer = loop_.run_after(kSessionCheckInterval, [this, &server] {
     server.check_timer = 0;
     if (server.sessions_to_check.empty()) return;
     if (auto* pooled = pick_connection(server)) {
--- a/src/http2/connection_pool.hpp
+++ b/src/http2/connection_pool.hpp
@@ -44,10 +44,10 @@
   void forget_server(ServerId server) override;
   [[nodiscard]] bool is_available(ServerId server) const override;
 
-  void set_up(const core::SetUp& set_up) override;
-  bool cancel(const core::AttemptRef& attempt) override;
-  void release(const core::AttemptRef& attempt, core::Cause cause) override;
-  void forget(const core::AttemptRef& attempt) override;
+  void set_up(const core::OutgoingSetUp& set_up) override;
+  bool cancel(const core::AttemptId& attempt) override;
+  void release(const core::AttemptId& attempt, core::Cause cause) override;
+  void forget_attempt(const core::AttemptId& attempt) override;
   void check_health(ServerId server) override;
 
   /// Which version each server speaks.
@@ -59,7 +59,7 @@
   struct Server;
   /// An attempt whose set-up waits or is outstanding, or whose session is established.
   struct Attempt {
-    core::AttemptRef ref;
+    core::AttemptId ref;
     std::string id;
     std::string body;
     ProtocolVersion version{};
@@ -72,7 +72,7 @@
     /// Set if the session's end was reported before the answer to its set-up arrived.
     std::optional<std::pair<Outcome, core::Cause>> early_end;
   };
-  enum class RequestKind : std::uint8_t { kSetUp, kRelease, kVersions, kEvents, kCheckSession, kHealthProbe };
+  enum class RequestKind : std::uint8_t { kSetUp, kRelease, kVersions, kEvents, kCheckSession, kHealthCheck };
   /// A request that has been handed to a connection and has not ended.
   struct OutstandingRequest {
     RequestKind kind{};
@@ -85,7 +85,7 @@
   struct PendingRelease {
     core::Cause cause{};
     bool outstanding = false;  ///< a DELETE request has been sent and has not ended
-    int tries = 0;
+    int attempts = 0;
   };
 
   /// Adds the server if the pool does not have it.
@@ -116,12 +116,12 @@
   /// none.
   void forget_outstanding(Server& server, const PooledConnection& pooled);
   /// Takes the reference by value because it may belong to the attempt that is removed.
-  void end_attempt(core::AttemptRef ref, core::AttemptEnd attempt_end);
-  void end_attempt_later(core::AttemptRef ref, core::AttemptEnd attempt_end);
+  void end_attempt(core::AttemptId ref, core::AttemptEnd attempt_end);
+  void end_attempt_later(core::AttemptId ref, core::AttemptEnd attempt_end);
   void apply_version_actions(translate::Versions::Actions actions);
   void schedule_version_tick();
   void remove_attempt(CallId call);
-  Attempt* find_attempt(const core::AttemptRef& ref);
+  Attempt* find_attempt(const core::AttemptId& ref);
 
   net::Loop& loop_;
   core::CallTable& call_table_;
--- a/src/iso8583/codec.cpp
+++ b/src/iso8583/codec.cpp
@@ -30,8 +30,8 @@
   return {Kind::kSigned, 0, max_length};
 }
 
-constexpr std::array<Element, kElements + 1> make_element_table() {
-  std::array<Element, kElements + 1> table{};
+constexpr std::array<Element, kElementCount + 1> make_element_table() {
+  std::array<Element, kElementCount + 1> table{};
   table[2] = two_digit_length(Kind::kDigits, 19);
   table[3] = fixed_digits(6);
   table[4] = table[5] = table[6] = fixed_digits(12);
@@ -127,7 +127,7 @@
 }  // namespace
 
 const Element& element(std::size_t number) {
-  return kElementTable[std::min(number, kElements)];
+  return kElementTable[std::min(number, kElementCount)];
 }
 
 bool is_secret(std::size_t number) {
@@ -140,11 +140,11 @@
   const std::size_t length = static_cast<std::size_t>(static_cast<unsigned char>(bytes[0])) << 8U |
                              static_cast<unsigned char>(bytes[1]);
   if (length > max_length) {
-    frame.state = Frame::State::kBad;
+    frame.state = Frame::State::kTooLong;
     return frame;
   }
   if (bytes.size() < 2 + length) return frame;
-  return {Frame::State::kWhole, bytes.substr(2, length), 2 + length};
+  return {Frame::State::kComplete, bytes.substr(2, length), 2 + length};
 }
 
 std::string_view text_of(Fault::Reason reason) {
@@ -202,7 +202,7 @@
     to.set(number, text);
     body.remove_prefix(length);
   }
-  if (!body.empty()) return Fault{kElements, Reason::kTrailingData};
+  if (!body.empty()) return Fault{kElementCount, Reason::kTrailingData};
   return std::nullopt;
 }
 
@@ -212,8 +212,8 @@
     output += static_cast<char>('0' + (message.mti.code >> static_cast<unsigned>(shift) & 0xfU));
   }
   std::size_t last_element = 64;
-  for (std::size_t number = 65; number <= kElements; ++number) {
-    if (message.has(number)) last_element = kElements;
+  for (std::size_t number = 65; number <= kElementCount; ++number) {
+    if (message.has(number)) last_element = kElementCount;
   }
   std::string bitmap(last_element / 8, '\0');
   const auto set_bit = [&bitmap](std::size_t number) {
@@ -260,7 +260,7 @@
   for (int shift = 12; shift >= 0; shift -= 4) {
     output += static_cast<char>('0' + (message.mti.code >> static_cast<unsigned>(shift) & 0xfU));
   }
-  for (std::size_t number = 2; number <= kElements; ++number) {
+  for (std::size_t number = 2; number <= kElementCount; ++number) {
     if (!message.has(number)) continue;
     const auto text = message.text(number);
     output += ' ';
--- a/src/iso8583/codec.hpp
+++ b/src/iso8583/codec.hpp
@@ -14,7 +14,7 @@
 namespace amberknot::iso8583 {
 
 /// The highest number of a data element.
-inline constexpr std::size_t kElements = 128;
+inline constexpr std::size_t kElementCount = 128;
 
 /// The format of a data element (ISO 8583:1987, table 2).
 struct Element {
@@ -31,7 +31,7 @@
   std::uint8_t length_digits = 0;  ///< digits of the length field; zero if the length is fixed
   std::uint16_t max_length = 0;    ///< maximum length in characters, or the fixed length
 };
-/// Returns the format of an element; a number above kElements gives that of the last element.
+/// Returns the format of an element; a number above kElementCount gives that of the last element.
 const Element& element(std::size_t number);
 
 /// Returns true for elements with confidential data, which must not be logged, counted or shown: card number
@@ -73,19 +73,19 @@
   void clear(std::size_t number) { present_.reset(number); }
 
  private:
-  std::bitset<kElements + 1> present_;
-  std::array<std::string_view, kElements + 1> texts_{};
+  std::bitset<kElementCount + 1> present_;
+  std::array<std::string_view, kElementCount + 1> texts_{};
 };
 
 /// The result of read_frame().
 struct Frame {
-  enum class State : std::uint8_t { kMore, kWhole, kBad };
-  State state = State::kMore;
-  std::string_view body;  ///< set if kWhole; an empty body is a keep-alive, which is not answered
+  enum class State : std::uint8_t { kIncomplete, kComplete, kTooLong };
+  State state = State::kIncomplete;
+  std::string_view body;  ///< set if kComplete; an empty body is a keep-alive, which is not answered
   std::size_t size = 0;   ///< bytes of the whole frame, with its length field
 };
-/// Reads the first frame of a stream. The state is kMore if the frame is incomplete, and kBad if its body is
-/// longer than `max_length` bytes: then the stream cannot be read any further.
+/// Reads the first frame of a stream. The state is kIncomplete if the frame is incomplete, and kTooLong if
+/// its body is longer than `max_length` bytes: then the stream cannot be read any further.
 Frame read_frame(std::string_view bytes, std::size_t max_length);
 
 /// An error in a message.
--- a/src/jsonl/codec.cpp
+++ b/src/jsonl/codec.cpp
@@ -25,31 +25,31 @@
   if (std::find(line.begin(), line.end(), '\0') != line.end()) return std::nullopt;
   auto& document = parser_->document;
   document = rapidjson::Document();
-  document.ParseInsitu<settings::kJsonFlags>(line.data());
+  document.ParseInsitu<settings::kJsonParseFlags>(line.data());
   if (document.HasParseError() || !document.IsObject()) return std::nullopt;
 
   JsonLine read;
-  const auto type = settings::text_in(document, "msg");
+  const auto type = settings::member_string(document, "msg");
   if (type.empty()) return std::nullopt;
   if (type == "open") read.type = JsonLine::Type::kOpen;
   if (type == "close") read.type = JsonLine::Type::kClose;
-  if (type == "probe") read.type = JsonLine::Type::kProbe;
-  read.sid = settings::text_in(document, "sid");
+  if (type == "probe") read.type = JsonLine::Type::kHealthCheck;
+  read.sid = settings::member_string(document, "sid");
   const bool needs_id = read.type == JsonLine::Type::kOpen || read.type == JsonLine::Type::kClose;
   if (needs_id && !is_call_id(read.sid)) return std::nullopt;
-  if (const auto* attrs = settings::member(document, "attrs")) {
-    read.call_class = settings::text_in(*attrs, "class");
-    read.remaining_ms = settings::text_in(*attrs, "left");
-    read.tenant = settings::text_in(*attrs, "tenant");
-    read.number = settings::text_in(*attrs, "key");
-    read.extras = settings::text_in(*attrs, "extras");
+  if (const auto* attrs = settings::find_member(document, "attrs")) {
+    read.call_class = settings::member_string(*attrs, "class");
+    read.remaining_ms = settings::member_string(*attrs, "left");
+    read.tenant = settings::member_string(*attrs, "tenant");
+    read.number = settings::member_string(*attrs, "key");
+    read.extras = settings::member_string(*attrs, "extras");
   }
-  if (const auto* text = settings::member(document, "text")) {
+  if (const auto* text = settings::find_member(document, "text")) {
     // A lone surrogate cannot be encoded in UTF-8 and would make the message to the server malformed.
-    read.has_text = text->IsString() && !settings::has_lone_surrogate(settings::text_of(*text));
-    read.text = settings::text_of(*text);
+    read.has_text = text->IsString() && !settings::has_lone_surrogate(settings::string_value(*text));
+    read.text = settings::string_value(*text);
   }
-  if (const auto code = settings::number_of(settings::text_in(document, "code"));
+  if (const auto code = settings::parse_number(settings::member_string(document, "code"));
       code && std::abs(*code) < 1e6) {
     read.code = static_cast<int>(*code);
   }
@@ -65,7 +65,7 @@
     const auto colon = part.find(':');
     if (colon == std::string_view::npos) return std::nullopt;
     const auto name = part.substr(0, colon);
-    const auto value = settings::number_of(part.substr(colon + 1));
+    const auto value = settings::parse_number(part.substr(colon + 1));
     if (!value) return std::nullopt;
     if (name == "dest") {
       if (*value < 0 || *value > 1e9 || *value != std::floor(*value)) return std::nullopt;
@@ -86,7 +86,7 @@
   std::string line = "{\"msg\":\"";
   line += type;
   line += "\",\"sid\":";
-  settings::append_quoted(line, sid);
+  settings::append_json_string(line, sid);
   line += ",\"attrs\":{";
   return line;
 }
@@ -96,7 +96,7 @@
 std::string ready_line(std::string_view sid, std::string_view description) {
   auto line = start_line("ready", sid);
   line += "},\"text\":";
-  settings::append_quoted(line, description);
+  settings::append_json_string(line, description);
   line += "}\n";
   return line;
 }
@@ -115,7 +115,7 @@
   return start_line("closed", sid) + "}}\n";
 }
 
-std::string probed_line(std::string_view sid, bool passed) {
+std::string health_check_answer_line(std::string_view sid, bool passed) {
   return start_line("probed", sid) + "},\"code\":" + (passed ? "1" : "0") + "}\n";
 }
 
--- a/src/jsonl/codec.hpp
+++ b/src/jsonl/codec.hpp
@@ -14,7 +14,7 @@
 
 /// A parsed line. The views refer to the line, and members that are absent are empty.
 struct JsonLine {
-  enum class Type { kOpen, kClose, kProbe, kOther };
+  enum class Type { kOpen, kClose, kHealthCheck, kOther };
   Type type = Type::kOther;
   std::string_view sid;  ///< the call id, 16 hex digits; any text for `probe` and other types
   /// Attributes `class`, `left`, `tenant`, `key` and `extras`, as text.
@@ -30,8 +30,8 @@
   JsonLineReader();
   ~JsonLineReader();
   /// Parses a line. `line` excludes the line feed and is overwritten; `end` is the byte after it, which is
-  /// overwritten too, and up to settings::kJsonPad bytes from there on may be read. Returns nullopt if the
-  /// line cannot be parsed, or if its type needs a call id and it has no valid one.
+  /// overwritten too, and up to settings::kJsonPaddingBytes bytes from there on may be read. Returns nullopt
+  /// if the line cannot be parsed, or if its type needs a call id and it has no valid one.
   std::optional<JsonLine> read(std::span<char> line, char* end);
 
  private:
@@ -61,6 +61,6 @@
 /// Returns the confirmation of a release.
 std::string closed_line(std::string_view sid);
 /// Returns the result of a health check.
-std::string probed_line(std::string_view sid, bool passed);
+std::string health_check_answer_line(std::string_view sid, bool passed);
 
 }  // namespace amberknot::jsonl
--- a/src/jsonl/frontend.cpp
+++ b/src/jsonl/frontend.cpp
@@ -55,14 +55,15 @@
 
 core::Cause cause_of(core::Reason reason) {
   static const auto& dialect = *translate::find_dialect("json-lines");
-  return static_cast<core::Cause>(translate::word_for(dialect, reason).code);
+  return static_cast<core::Cause>(translate::code_for_reason(dialect, reason).code);
 }
 
 }  // namespace
 
 Frontend::Frontend(net::Loop& loop, core::CallTable& table, core::Counters& counters,
-                   const core::Names& names, const Settings& settings, const net::ResourceLimits& limits,
-                   const asio::ip::tcp::endpoint& listen, const translate::Translator* translator)
+                   const core::ConfiguredNames& names, const Settings& settings,
+                   const net::ResourceLimits& limits, const asio::ip::tcp::endpoint& listen,
+                   const translate::Translator* translator)
     : loop_(loop),
       table_(table),
       counters_(counters),
@@ -70,10 +71,10 @@
       settings_(settings),
       limits_(limits),
       translator_(translator),
-      dialect_(translator != nullptr ? translator->client_no("json-lines").value() : 0),
+      dialect_(translator != nullptr ? translator->client_dialect_index("json-lines").value() : 0),
       acceptor_(net::shared_acceptor(loop.io, listen)),
       accept_retry_timer_(loop.io) {
-  listen_address_ = net::text_of(acceptor_.local_endpoint());
+  listen_address_ = net::to_text(acceptor_.local_endpoint());
   accept();
   schedule_sweep();
 }
@@ -114,7 +115,7 @@
   auto& connection = connections_[stream.get()];
   connection.stream = stream;
   connection.accepted_at = net::Loop::now();
-  stream->adopt(std::move(socket));
+  stream->start_accepted(std::move(socket));
   if (stream->is_closed()) return;
   const auto caller = stream->remote().address();
   connections_by_caller_[caller].push_back(stream.get());
@@ -133,7 +134,7 @@
 // in the middle of a message is closed only if there is no other, and one with an unanswered set-up never.
 bool Frontend::make_room() {
   std::erase_if(lingering_, [](const auto& stream) { return !stream->is_lingering(); });
-  if (connections_.size() + lingering_.size() < limits_.callers) return true;
+  if (connections_.size() + lingering_.size() < limits_.max_caller_connections) return true;
   if (!lingering_.empty()) {
     lingering_.front()->close();
     lingering_.pop_front();
@@ -150,7 +151,7 @@
     evicted_rank = rank;
   }
   if (evicted == nullptr) return false;
-  ++counters_.evicted;
+  ++counters_.evicted_connections;
   close_connection(*evicted, false);
   return true;
 }
@@ -159,7 +160,7 @@
   const auto stream = connection.stream;
   remove_connection(*stream, flush_output);
   if (flush_output) {
-    stream->finish();
+    stream->close_after_flush();
     lingering_.push_back(stream);
   } else {
     stream->close();
@@ -167,7 +168,8 @@
 }
 
 bool Frontend::has_pending_data(const Connection& connection) {
-  return connection.partial_line_since || connection.stream->queued() > 0 || connection.stream->has_unread();
+  return connection.partial_line_since || connection.stream->queued_bytes() > 0 ||
+         connection.stream->has_unread();
 }
 
 std::size_t Frontend::on_bytes(net::TcpConnection& stream, std::span<char> bytes) {
@@ -177,8 +179,8 @@
     const auto rest = bytes.subspan(taken);
     const auto end = std::find(rest.begin(), rest.end(), '\n');
     const auto size = static_cast<std::size_t>(end - rest.begin());
-    if (size > net::kMaxMessage || (end != rest.end() && !on_line(from, rest.first(size), &*end))) {
-      ++counters_.unreadable;
+    if (size > net::kMaxMessageBytes || (end != rest.end() && !on_line(from, rest.first(size), &*end))) {
+      ++counters_.unreadable_messages;
       net::log::warn(unreadable_log_limit_, "jsonl: cannot parse a line from caller ", stream.remote(),
                      ": connection closed");
       close_connection(from, true);
@@ -215,20 +217,20 @@
     case JsonLine::Type::kClose:
       close(from, *read);
       break;
-    case JsonLine::Type::kProbe:
+    case JsonLine::Type::kHealthCheck:
       from.is_useful = true;
-      from.stream->send(probed_line(read->sid, !is_standby_));
+      from.stream->send(health_check_answer_line(read->sid, !is_standby_));
       break;
     case JsonLine::Type::kOther:  // `closed` is one of these: it confirms a release
       std::erase_if(from.sent_releases,
-                    [&](const SentRelease& sent) { return sent.release.id == read->sid; });
+                    [&](const SentRelease& sent) { return sent.release.call_id == read->sid; });
       break;
   }
   return true;
 }
 
 void Frontend::on_closed(net::TcpConnection& stream, net::CloseReason reason) {
-  net::log::debug("jsonl: connection of caller ", stream.remote(), " closed: ", name(reason));
+  net::log::debug("jsonl: connection of caller ", stream.remote(), " closed: ", close_reason_name(reason));
   remove_connection(stream, false);
 }
 
@@ -269,15 +271,16 @@
 // Closes connections that are silent or never complete a line: descriptors are scarce, and the other side
 // must get a close.
 void Frontend::schedule_sweep() {
-  loop_.after(kSweepInterval, [this] {
+  loop_.run_after(kSweepInterval, [this] {
     const Instant now = net::Loop::now();
     std::vector<net::TcpConnection*> to_close;
     for (const auto& [key, connection] : connections_) {
-      const bool is_silent = !connection.is_useful && now - connection.accepted_at > kFirstMessageTimeout;
+      const bool is_without_useful_message =
+          !connection.is_useful && now - connection.accepted_at > kFirstMessageTimeout;
       const bool is_stalled =
           connection.partial_line_since && now - *connection.partial_line_since > kPartialLineTimeout;
       const bool is_idle = connection.calls.empty() && now - connection.stream->used_at() > kIdleTimeout;
-      const bool due = (is_silent && connection.unanswered == 0) || is_stalled || is_idle;
+      const bool due = (is_without_useful_message && connection.unanswered == 0) || is_stalled || is_idle;
       // Unread bytes may be a set-up that the caller wrote before this close.
       if (due && !connection.stream->has_unread()) to_close.push_back(key);
     }
@@ -285,7 +288,7 @@
       const auto found = connections_.find(key);
       if (found == connections_.end()) continue;
       if (!found->second.is_useful) {
-        ++counters_.idle_closed;
+        ++counters_.idle_connections_closed;
         net::log::info(idle_log_limit_, "jsonl: caller ", key->remote(),
                        " sent no useful message in time: connection closed");
       }
@@ -307,7 +310,7 @@
   net::log::info(is_standby ? "jsonl: standby: health checks fail, idle connections are closed"
                             : "jsonl: active: health checks pass, connections are kept");
   if (is_hot_restarting_) return;
-  loop_.wheel.cancel(std::exchange(idle_close_timer_, 0));
+  loop_.timers.cancel(std::exchange(idle_close_timer_, 0));
   if (is_standby) schedule_idle_close();
 }
 
@@ -325,7 +328,7 @@
   undelivered_count_ = 0;
   net::log::info("jsonl: hot restart: ", connections_.size(),
                  " connections of callers, each closed once its set-ups are answered");
-  loop_.wheel.cancel(std::exchange(idle_close_timer_, 0));
+  loop_.timers.cancel(std::exchange(idle_close_timer_, 0));
   schedule_idle_close();
 }
 
@@ -344,7 +347,7 @@
   return std::none_of(connections_.begin(), connections_.end(),
                       [](const auto& item) { return has_pending_data(item.second); }) &&
          std::none_of(lingering_.begin(), lingering_.end(),
-                      [](const auto& stream) { return stream->queued() > 0; });
+                      [](const auto& stream) { return stream->queued_bytes() > 0; });
 }
 
 void Frontend::shut_down() {
@@ -381,7 +384,7 @@
 void Frontend::schedule_idle_close() {
   if (!is_standby_ && !is_hot_restarting_) return;
   close_idle_connections();
-  idle_close_timer_ = loop_.after(kIdleCloseInterval, [this] { schedule_idle_close(); });
+  idle_close_timer_ = loop_.run_after(kIdleCloseInterval, [this] { schedule_idle_close(); });
 }
 
 std::shared_ptr<net::TcpConnection> Frontend::best_connection_of(const asio::ip::address& caller) {
@@ -401,18 +404,18 @@
 
 // ---- messages from callers -------------------------------------------------------------------------------
 
-const char* Frontend::find_invalid_field(const JsonLine& line, core::NewSetUp& to) const {
-  const auto class_index = names_.class_no(line.call_class);
+const char* Frontend::find_invalid_field(const JsonLine& line, core::SetUpRequest& to) const {
+  const auto class_index = names_.class_index(line.call_class);
   if (!class_index) return "class";
   const auto tenant =
       names_.tenants.empty() ? std::optional<std::size_t>(0) : index_of(names_.tenants, line.tenant);
   if (!tenant) return "tenant";
   const auto& rules = settings_.classes[*class_index];
   // Callers do not wait much longer than the deadline of the class, so a larger value is an error.
-  const auto remaining_ms = settings::number_of(line.remaining_ms);
+  const auto remaining_ms = settings::parse_number(line.remaining_ms);
   const double max_wait_ms = kMaxDeadlineFactor * static_cast<double>(rules.deadline.count()) / 1000.0;
   if (!remaining_ms || *remaining_ms < 0 || *remaining_ms > max_wait_ms) return "left";
-  if (!core::is_number_called(line.number)) return "key";
+  if (!core::is_valid_called_number(line.number)) return "key";
   const auto extras = parse_extras(line.extras);
   if (line.extras.empty() || !extras || !extras->destination_pool) return "extras";
   const PoolId destination_pool{*extras->destination_pool};
@@ -420,31 +423,31 @@
       std::find(rules.pools.begin(), rules.pools.end(), destination_pool) == rules.pools.end()) {
     return "extras dest";
   }
-  if (*class_index < names_.widths.size() && extras->width > names_.widths[*class_index])
+  if (*class_index < names_.max_widths.size() && extras->width > names_.max_widths[*class_index])
     return "extras width";
   if (!line.has_text) return "text";
   to.id = line.sid;
   to.call_class = line.call_class;
   to.number = line.number;
   to.description = line.text;
-  to.facts.expires = net::Loop::now() + Duration{static_cast<std::int64_t>(*remaining_ms * 1000.0)};
-  to.facts.first_choice = destination_pool;
-  to.facts.width = extras->width;
-  to.facts.was_aborted = extras->was_aborted;
-  to.facts.call_class = *class_index;
-  to.facts.tenant = *tenant;
+  to.request.expires = net::Loop::now() + Duration{static_cast<std::int64_t>(*remaining_ms * 1000.0)};
+  to.request.preferred_pool = destination_pool;
+  to.request.width = extras->width;
+  to.request.was_aborted = extras->was_aborted;
+  to.request.call_class = *class_index;
+  to.request.tenant = *tenant;
   if (translator_ != nullptr) {
     using translate::Meaning;
     auto message = std::make_unique<translate::Message>(
-        dialect_, translator_->client(dialect_).of(translate::Kind::kSetUp));
+        dialect_, translator_->client_dialect(dialect_).of(translate::MessageKind::kSetUp));
     message->set(Meaning::kCall, line.sid);
     message->set(Meaning::kClass, line.call_class);
-    message->set(Meaning::kPatience, static_cast<std::int64_t>(*remaining_ms));
+    message->set(Meaning::kRemainingWait, static_cast<std::int64_t>(*remaining_ms));
     message->set(Meaning::kTenant, line.tenant);
     message->set(Meaning::kNumber, line.number);
     message->set(Meaning::kDescription, line.text);
-    message->set(Meaning::kAgain, extras->was_aborted ? 1 : 0);
-    to.facts.excluded_versions = translator_->rule(*message, translation_scratch_);
+    message->set(Meaning::kWasAborted, extras->was_aborted ? 1 : 0);
+    to.request.excluded_versions = translator_->ineligible_dialects(*message, translation_scratch_);
     to.message = std::move(message);
   }
   return nullptr;
@@ -456,9 +459,9 @@
     on_repeated_id(from, sid, existing->second);
     return;
   }
-  core::NewSetUp set_up;
+  core::SetUpRequest set_up;
   if (const char* invalid_field = find_invalid_field(line, set_up)) {
-    ++counters_.malformed;
+    ++counters_.malformed_set_ups;
     net::log::warn(malformed_log_limit_, "jsonl: set-up ", sid,
                    " failed: invalid or missing field: ", invalid_field);
     from.stream->send(close_line(sid, core::Cause::kInvalidContents));
@@ -469,17 +472,18 @@
       set_up.message ? sizeof(translate::Message) + 2 * set_up.description.size() : 0;
   const std::size_t held_bytes =
       kCallOverheadBytes + 2 * (set_up.description.size() + set_up.number.size()) + message_bytes;
-  if (held_bytes_ + held_bytes > limits_.calls || from.held_bytes + held_bytes > limits_.calls_of_one) {
+  if (held_bytes_ + held_bytes > limits_.max_call_bytes ||
+      from.held_bytes + held_bytes > limits_.max_call_bytes_per_connection) {
     // The memory limit is reached: rejected at once, with a time before which the caller should not retry.
     ++counters_.rejected_for_capacity;
     net::log::warn(capacity_log_limit_, "jsonl: set-up rejected at the memory limit: unanswered calls hold ",
                    held_bytes_, " bytes");
     from.stream->send(close_line(
         sid, core::Cause::kCongestion,
-        settings_.limits.retry_advice ? std::optional(settings_.limits.max_retry_advice) : std::nullopt));
+        settings_.limits.may_advise_retry ? std::optional(settings_.limits.max_retry_after) : std::nullopt));
     return;
   }
-  const CallId id = table_.admit(*this, std::move(set_up));
+  const CallId id = table_.add_call(*this, std::move(set_up));
   calls_by_sid_[sid] = id;
   calls_[id] = {sid, &from, from.stream->remote().address(), false, held_bytes};
   from.calls.insert(id);
@@ -546,7 +550,7 @@
   // If the connection cannot be written any more, it is lost and on_closed() follows.
   if (!found->second.connection->stream->is_open()) return false;
   auto line = ready_line(found->second.sid, description);
-  if (line.size() > net::kMaxMessage) return false;
+  if (line.size() > net::kMaxMessageBytes) return false;
   mark_answered(found->second);
   found->second.connection->stream->send(std::move(line), {}, answer_tag(id));
   return true;
@@ -583,7 +587,7 @@
 void Frontend::deliver_release(const core::UndeliveredRelease& release) {
   asio::error_code bad;
   asio::ip::make_address(release.caller, bad);
-  if (bad || !is_call_id(release.id)) return;
+  if (bad || !is_call_id(release.call_id)) return;
   send_release_to_caller(release);
 }
 
@@ -594,7 +598,7 @@
          (sent_releases.size() >= kMaxSentReleases || now - sent_releases.front().at > kConfirmationTimeout))
     sent_releases.pop_front();
   const auto tag = kFirstReleaseTag + next_release_tag_++;
-  stream.send(close_line(release.id, static_cast<core::Cause>(release.cause)), {}, tag);
+  stream.send(close_line(release.call_id, static_cast<core::Cause>(release.cause)), {}, tag);
   sent_releases.push_back({tag, std::move(release), now});
 }
 
@@ -608,9 +612,9 @@
     undelivered_sink_(std::move(release));
     return;
   }
-  if (undelivered_count_ >= limits_.waiting) return;
+  if (undelivered_count_ >= limits_.max_undelivered_releases) return;
   auto& waiting = undelivered_[caller];
-  if (waiting.releases.size() >= limits_.waiting_of_one) return;
+  if (waiting.releases.size() >= limits_.max_undelivered_releases_per_peer) return;
   waiting.since = net::Loop::now();
   waiting.releases.push_back(std::move(release));
   ++undelivered_count_;
--- a/src/jsonl/frontend.hpp
+++ b/src/jsonl/frontend.hpp
@@ -24,13 +24,13 @@
 
 /// Runs on the thread of the event loop. A set-up is answered on its own connection; releases go out on any
 /// open connection of the caller, where the caller is identified by its address.
-class Frontend : public core::Frontend, public net::TcpConnection::Owner {
+class Frontend : public core::Frontend, public net::TcpConnection::EventHandler {
  public:
   /// Starts to listen; throws asio::system_error if it cannot. `translator` is null if no set-up is
   /// translated to another protocol.
-  Frontend(net::Loop& loop, core::CallTable& table, core::Counters& counters, const core::Names& names,
-           const Settings& settings, const net::ResourceLimits& limits, const asio::ip::tcp::endpoint& listen,
-           const translate::Translator* translator = nullptr);
+  Frontend(net::Loop& loop, core::CallTable& table, core::Counters& counters,
+           const core::ConfiguredNames& names, const Settings& settings, const net::ResourceLimits& limits,
+           const asio::ip::tcp::endpoint& listen, const translate::Translator* translator = nullptr);
 
   bool answer(CallId call, std::string_view description) override;
   void reject(CallId call, core::Reason reason, Duration retry_after) override;
@@ -85,7 +85,7 @@
   void open(Connection& from, const JsonLine& line);
   /// Fills `to` from a set-up line. Returns the name of the first invalid or missing field, or null if all
   /// are valid.
-  const char* find_invalid_field(const JsonLine& line, core::NewSetUp& to) const;
+  const char* find_invalid_field(const JsonLine& line, core::SetUpRequest& to) const;
   void on_repeated_id(Connection& from, const std::string& sid, CallId existing);
   void close(Connection& from, const JsonLine& line);
   void close_connection(Connection& connection, bool flush_output);
@@ -116,7 +116,7 @@
   net::Loop& loop_;
   core::CallTable& table_;
   core::Counters& counters_;
-  const core::Names& names_;
+  const core::ConfiguredNames& names_;
   const Settings& settings_;
   net::ResourceLimits limits_;
   const translate::Translator* translator_;  ///< null if nothing is translated
--- a/src/net/listen.hpp
+++ b/src/net/listen.hpp
@@ -16,25 +16,26 @@
 /// sets SO_REUSEPORT. Used for the listeners for clients and the datagram socket for siblings. Throws
 /// asio::system_error on failure.
 template <typename Socket>
-void bind_shared(Socket& socket, const typename Socket::endpoint_type& address) {
+void bind_reusable_port(Socket& socket, const typename Socket::endpoint_type& address) {
   socket.open(address.protocol());
   socket.set_option(asio::socket_base::reuse_address(true));
   socket.set_option(ReusePort(true));
   socket.bind(address);
 }
 
-/// Returns an acceptor that listens on `address`, shared by bind_shared().
+/// Returns an acceptor that listens on `address`, shared by bind_reusable_port().
 inline asio::ip::tcp::acceptor shared_acceptor(asio::io_context& io, const asio::ip::tcp::endpoint& address) {
   asio::ip::tcp::acceptor acceptor(io);
-  bind_shared(acceptor, address);
+  bind_reusable_port(acceptor, address);
   acceptor.listen(asio::socket_base::max_listen_connections);
   return acceptor;
 }
 
-/// Returns a datagram socket for the siblings at `address`, shared by bind_shared().
-inline asio::ip::udp::socket shared_datagrams(asio::io_context& io, const asio::ip::udp::endpoint& address) {
+/// Returns a datagram socket for the siblings at `address`, shared by bind_reusable_port().
+inline asio::ip::udp::socket shared_datagram_socket(asio::io_context& io,
+                                                    const asio::ip::udp::endpoint& address) {
   asio::ip::udp::socket socket(io);
-  bind_shared(socket, address);
+  bind_reusable_port(socket, address);
   return socket;
 }
 
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -14,17 +14,17 @@
 class TcpConnection;
 
 /// Output queued on all connections together.
-struct Outgoing {
-  std::size_t bytes = 0;                       ///< queued now
-  std::size_t most = 4 * 1024 * 1024;          ///< limit in bytes for all connections together
-  std::size_t max_on_one = 256 * 1024;         ///< limit in bytes for one connection
-  std::unordered_set<TcpConnection*> blocked;  ///< connections whose peer does not read
+struct OutputTotals {
+  std::size_t bytes = 0;                                   ///< queued now
+  std::size_t max_bytes = 4 * 1024 * 1024;                 ///< limit in bytes for all connections together
+  std::size_t max_bytes_per_connection = 256 * 1024;       ///< limit in bytes for one connection
+  std::unordered_set<TcpConnection*> blocked_connections;  ///< connections whose peer does not read
 };
 
 /// Owns the event loop. All members are used on its thread only.
 class Loop {
  public:
-  Loop() : wheel(now()), tick_timer_(io) { schedule_tick(); }
+  Loop() : timers(now()), tick_timer_(io) { schedule_tick(); }
 
   /// Monotonic clock, for timers and the decision module.
   static Instant now() {
@@ -38,21 +38,22 @@
   }
   /// The same in milliseconds.
   static std::int64_t unix_ms() { return unix_us() / 1000; }
-  /// Runs a handler on the loop after a delay. The result cancels the timer in `wheel`.
-  core::TimerWheel::Handle after(Duration delay, std::function<void()> handler) {
-    return wheel.at(now() + delay, std::move(handler));
+  /// Runs a handler on the loop after a delay. The result cancels the timer in `timers`.
+  core::TimerWheel::Handle run_after(Duration delay, std::function<void()> handler) {
+    return timers.schedule_at(now() + delay, std::move(handler));
   }
 
-  Outgoing outgoing;  ///< declared first, so that it outlives every connection that a handler of `io` owns
+  OutputTotals
+      output_totals;  ///< declared first, so that it outlives every connection that a handler of `io` owns
   asio::io_context io{1};
-  core::TimerWheel wheel;
+  core::TimerWheel timers;
 
  private:
   void schedule_tick() {
     tick_timer_.expires_after(core::TimerWheel::kTick);
     tick_timer_.async_wait([this](const asio::error_code& error) {
       if (error) return;
-      wheel.advance(now());
+      timers.advance(now());
       schedule_tick();
     });
   }
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kInitialBufferSize = 4096;
-constexpr std::size_t kMaxBufferSize = kMaxMessage + 1024;
+constexpr std::size_t kMaxBufferSize = kMaxMessageBytes + 1024;
 // Bytes kept free after the input, for parsers that read ahead (the UTF-8 check of RapidJSON).
 constexpr std::size_t kLookaheadPadding = 4;
 // How long input is still read after a failed write.
@@ -24,12 +24,12 @@
 
 }  // namespace
 
-const char* name(CloseReason reason) {
+const char* close_reason_name(CloseReason reason) {
   static constexpr const char* kNames[] = {"ended", "reset", "refused", "not connected in time", "overrun"};
   return kNames[static_cast<int>(reason)];
 }
 
-void TcpConnection::adopt(asio::ip::tcp::socket socket) {
+void TcpConnection::start_accepted(asio::ip::tcp::socket socket) {
   socket_ = std::move(socket);
   asio::error_code ignored;
   remote_ = socket_.remote_endpoint(ignored);
@@ -38,25 +38,25 @@
 
 void TcpConnection::connect(const asio::ip::tcp::endpoint& to, Duration timeout, Duration late_window) {
   remote_ = to;
-  timer_ = loop_.after(timeout, [self = shared_from_this(), late_window] {
+  timer_ = loop_.run_after(timeout, [self = shared_from_this(), late_window] {
     self->timer_ = 0;
     if (late_window <= Duration::zero()) {
-      self->fail(CloseReason::kNeverUp);
+      self->fail(CloseReason::kConnectFailed);
       return;
     }
-    self->timer_ = self->loop_.after(late_window, [self] {
+    self->timer_ = self->loop_.run_after(late_window, [self] {
       self->timer_ = 0;
-      self->fail(CloseReason::kNeverUp);
+      self->fail(CloseReason::kConnectFailed);
     });
-    self->owner_->on_connect_timeout(*self);
+    self->handler_->on_connect_timeout(*self);
   });
   socket_.async_connect(to, [self = shared_from_this()](const asio::error_code& error) {
     if (self->is_closed()) return;
-    self->loop_.wheel.cancel(std::exchange(self->timer_, 0));
+    self->loop_.timers.cancel(std::exchange(self->timer_, 0));
     if (error) {
-      self->fail(error == asio::error::connection_refused ? CloseReason::kRefused
+      self->fail(error == asio::error::connection_refused ? CloseReason::kConnectionRefused
                  : error == asio::error::connection_reset ? CloseReason::kReset
-                                                          : CloseReason::kNeverUp);
+                                                          : CloseReason::kConnectFailed);
       return;
     }
     self->start();
@@ -71,14 +71,14 @@
   used_at_ = Loop::now();
   input_.resize(kInitialBufferSize + kLookaheadPadding);
   const auto self = shared_from_this();
-  owner_->on_open(*this);
+  handler_->on_open(*this);
   if (is_closed()) return;
   flush();
   if (!is_closed()) read();
 }
 
 // Waits until the socket is readable and reads in a separate step. Received bytes are then either in the
-// kernel, where has_unread() sees them, or with the owner. An asynchronous read would take them out of the
+// kernel, where has_unread() sees them, or with the handler. An asynchronous read would take them out of the
 // kernel before it delivers them, and a close in between would lose them.
 void TcpConnection::read() {
   is_reading_ = true;
@@ -116,7 +116,7 @@
 
 void TcpConnection::deliver() {
   has_yielded_ = false;
-  const std::size_t taken = owner_->on_bytes(*this, std::span(input_.data(), input_size_));
+  const std::size_t taken = handler_->on_bytes(*this, std::span(input_.data(), input_size_));
   if (is_closed()) {
     discard_input();
     return;
@@ -133,7 +133,7 @@
   if (input_size_ + kLookaheadPadding == input_.size()) {
     // The buffer grows only for long messages, so that most connections need little memory.
     if (input_.size() >= kMaxBufferSize + kLookaheadPadding) {
-      fail(CloseReason::kOverrun);
+      fail(CloseReason::kLimitExceeded);
       return;
     }
     input_.resize(std::min(2 * input_.size(), kMaxBufferSize + kLookaheadPadding));
@@ -141,7 +141,7 @@
   read();
 }
 
-// After finish(): reads and discards input until the peer closes the connection too.
+// After close_after_flush(): reads and discards input until the peer closes the connection too.
 void TcpConnection::discard_input() {
   constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
   if (!is_lingering_ || is_reading_) return;
@@ -161,31 +161,31 @@
 
 void TcpConnection::subtract_queued(std::size_t bytes) {
   queued_bytes_ -= bytes;
-  loop_.outgoing.bytes -= bytes;
+  loop_.output_totals.bytes -= bytes;
 }
 
 void TcpConnection::send(std::string head, std::string body, Tag tag) {
   if (is_closed() || is_output_closed_) return;
   queued_bytes_ += head.size() + body.size();
-  loop_.outgoing.bytes += head.size() + body.size();
+  loop_.output_totals.bytes += head.size() + body.size();
   output_.push_back({std::move(head), std::move(body), tag});
   flush();
   // The output for a peer that does not read must not grow without limit, nor must the output of all
   // connections together.
-  auto& all = loop_.outgoing;
-  TcpConnection* largest = queued_bytes_ > all.max_on_one ? this : nullptr;
-  if (largest == nullptr && all.bytes > all.most) {
-    for (auto* connection : all.blocked) {
+  auto& all = loop_.output_totals;
+  TcpConnection* largest = queued_bytes_ > all.max_bytes_per_connection ? this : nullptr;
+  if (largest == nullptr && all.bytes > all.max_bytes) {
+    for (auto* connection : all.blocked_connections) {
       if (largest == nullptr || connection->queued_bytes_ > largest->queued_bytes_) largest = connection;
     }
   }
   if (largest == nullptr || largest->is_closed()) return;
-  asio::post(loop_.io, [self = largest->shared_from_this()] { self->fail(CloseReason::kOverrun); });
+  asio::post(loop_.io, [self = largest->shared_from_this()] { self->fail(CloseReason::kLimitExceeded); });
 }
 
-bool TcpConnection::take_back(Tag tag) {
+bool TcpConnection::withdraw(Tag tag) {
   for (auto at = output_.begin(); at != output_.end(); ++at) {
-    if (at->tag != tag || (at == output_.begin() && front_written_ > 0)) continue;
+    if (at->tag != tag || (at == output_.begin() && first_output_written_ > 0)) continue;
     subtract_queued(at->size());
     output_.erase(at);
     return true;
@@ -195,7 +195,7 @@
 
 bool TcpConnection::is_queued(Tag tag) const {
   for (auto at = output_.begin(); at != output_.end(); ++at) {
-    if (at->tag == tag) return at != output_.begin() || front_written_ == 0;
+    if (at->tag == tag) return at != output_.begin() || first_output_written_ == 0;
   }
   return false;
 }
@@ -218,7 +218,7 @@
 
 std::vector<TcpConnection::Message> TcpConnection::take_unsent() {
   std::vector<Message> unsent;
-  const std::size_t first = front_written_ > 0 ? 1 : 0;
+  const std::size_t first = first_output_written_ > 0 ? 1 : 0;
   while (output_.size() > first) {
     subtract_queued(output_[first].size());
     unsent.push_back(std::move(output_[first]));
@@ -235,7 +235,7 @@
     constexpr std::size_t kMaxWriteBuffers = 32;
     std::array<asio::const_buffer, kMaxWriteBuffers> buffers;
     std::size_t count = 0;
-    std::size_t skip = front_written_;
+    std::size_t skip = first_output_written_;
     const auto add = [&](const std::string& text) {
       const std::size_t skipped = std::min(skip, text.size());
       skip -= skipped;
@@ -253,15 +253,15 @@
         socket_.write_some(std::span<const asio::const_buffer>(buffers.data(), count), error);
     if (error == asio::error::would_block || error == asio::error::try_again) {
       is_waiting_to_write_ = true;
-      loop_.outgoing.blocked.insert(this);
+      loop_.output_totals.blocked_connections.insert(this);
       socket_.async_wait(asio::ip::tcp::socket::wait_write,
                          [self = shared_from_this()](const asio::error_code& failed) {
                            self->is_waiting_to_write_ = false;
-                           self->loop_.outgoing.blocked.erase(self.get());
+                           self->loop_.output_totals.blocked_connections.erase(self.get());
                            if (failed) return;
                            self->flush();
                            if (self->is_closed() || self->is_output_closed_) return;
-                           if (self->output_.empty()) self->owner_->on_drained(*self);
+                           if (self->output_.empty()) self->handler_->on_drained(*self);
                          });
       return;
     }
@@ -271,12 +271,12 @@
     }
     used_at_ = Loop::now();
     subtract_queued(written);
-    written += front_written_;
+    written += first_output_written_;
     while (!output_.empty() && written >= output_.front().size()) {
       written -= output_.front().size();
       output_.pop_front();
     }
-    front_written_ = written;
+    first_output_written_ = written;
   }
   if (is_lingering_ && output_.empty()) {
     asio::error_code ignored;
@@ -285,15 +285,15 @@
 }
 
 // A failed write does not invalidate input that has arrived: pending answers are read first, and the end of
-// the input reports the close to the owner. The timer reports it from the loop, never from inside a call of
-// the owner.
+// the input reports the close to the handler. The timer reports it from the loop, never from inside a call of
+// the handler.
 void TcpConnection::stop_writing(CloseReason reason) {
   if (is_lingering_) {
     close();
     return;
   }
   if (std::exchange(is_output_closed_, true)) return;
-  timer_ = loop_.after(kReadAfterWriteErrorTime, [self = shared_from_this(), reason] {
+  timer_ = loop_.run_after(kReadAfterWriteErrorTime, [self = shared_from_this(), reason] {
     self->timer_ = 0;
     self->fail(reason);
   });
@@ -301,12 +301,12 @@
 
 void TcpConnection::fail(CloseReason reason) {
   if (is_closed()) return;
-  auto* owner = owner_;
+  auto* handler = handler_;
   const auto self = shared_from_this();
   close_socket();
-  // Unsent messages are still queued here, so that the owner can take them and send them on another
+  // Unsent messages are still queued here, so that the handler can take them and send them on another
   // connection.
-  owner->on_closed(*this, reason);
+  handler->on_closed(*this, reason);
   discard_output();
 }
 
@@ -314,7 +314,7 @@
   if (!is_open_) return;
   is_output_closed_ = true;
   discard_output();
-  loop_.outgoing.blocked.erase(this);
+  loop_.output_totals.blocked_connections.erase(this);
   asio::error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
 }
@@ -325,11 +325,11 @@
 }
 
 void TcpConnection::close_socket() {
-  owner_ = nullptr;
+  handler_ = nullptr;
   is_open_ = false;
   is_lingering_ = false;
-  loop_.outgoing.blocked.erase(this);
-  loop_.wheel.cancel(std::exchange(timer_, 0));
+  loop_.output_totals.blocked_connections.erase(this);
+  loop_.timers.cancel(std::exchange(timer_, 0));
   asio::error_code ignored;
   socket_.close(ignored);
 }
@@ -337,7 +337,7 @@
 void TcpConnection::discard_output() {
   subtract_queued(queued_bytes_);
   output_.clear();
-  front_written_ = 0;
+  first_output_written_ = 0;
 }
 
 void TcpConnection::reset() {
@@ -346,34 +346,34 @@
   close();
 }
 
-void TcpConnection::finish() {
+void TcpConnection::close_after_flush() {
   if (is_closed()) return;
   if (!is_open_ || is_output_closed_) {
     close();
     return;
   }
-  owner_ = nullptr;
+  handler_ = nullptr;
   is_lingering_ = true;
-  timer_ = loop_.after(kLingerTimeout, [self = shared_from_this()] {
+  timer_ = loop_.run_after(kLingerTimeout, [self = shared_from_this()] {
     self->timer_ = 0;
     self->close();
   });
   flush();
   // A pending read continues by discarding input. If there is none, discarding starts after the current call
-  // of the owner has returned.
+  // of the handler has returned.
   asio::post(loop_.io, [self = shared_from_this()] { self->discard_input(); });
 }
 
 TcpConnection::~TcpConnection() {
-  loop_.outgoing.bytes -= queued_bytes_;
-  loop_.outgoing.blocked.erase(this);
+  loop_.output_totals.bytes -= queued_bytes_;
+  loop_.output_totals.blocked_connections.erase(this);
 }
 
 CloseReason TcpConnection::close_reason_of(const asio::error_code& error) {
-  return error == asio::error::eof ? CloseReason::kEnded : CloseReason::kReset;
+  return error == asio::error::eof ? CloseReason::kClosedByPeer : CloseReason::kReset;
 }
 
-std::optional<asio::ip::tcp::endpoint> read_endpoint(std::string_view text) {
+std::optional<asio::ip::tcp::endpoint> parse_endpoint(std::string_view text) {
   const auto colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
   const auto port_text = text.substr(colon + 1);
@@ -386,7 +386,7 @@
   return asio::ip::tcp::endpoint(address, port);
 }
 
-std::string text_of(const asio::ip::tcp::endpoint& endpoint) {
+std::string to_text(const asio::ip::tcp::endpoint& endpoint) {
   std::ostringstream text;
   text << endpoint;
   return text.str();
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -33,7 +33,7 @@
     if (calls.find(event.call) != nullptr) return;
     fleet.tokens.count_arrival();
     Call call(event, context.classes[event.call_class], context.now, context.settings.batch_interval);
-    if (quotas.is_over_quota(event.tenant)) call.priority_weight *= context.settings.over_quota_weight;
+    if (quotas.is_over_quota(event.tenant)) call.priority_weight *= context.settings.over_quota_weight_factor;
     calls.add(call);
     calls.enqueue(event.call);
     // If the queued calls were tried at this instant and no token has been returned since, only this call can
@@ -60,14 +60,14 @@
     if (call == nullptr || !call->is_current_attempt(event.server, event.attempt)) return;
     return_token(*call);
     call->server.reset();
-    call->request.excluded_versions |= event.excludes_versions;
+    call->request.excluded_versions |= event.newly_excluded_versions;
     if (event.call_ended) return finish(event.call);
     const auto is_one_of = [&](auto... outcomes) { return ((event.outcome == outcomes) || ...); };
     if (!is_one_of(Outcome::kFull, Outcome::kConnectFailed, Outcome::kNotSent)) call->may_have_run = true;
     if (is_one_of(Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled))
       call->not_before = context.now + context.settings.invariants.retry_pause;
     const bool may_repeat = !call->may_have_run || call->class_settings->idempotent;
-    const bool has_attempts_left = call->attempts < context.settings.limits.max_tries;
+    const bool has_attempts_left = call->attempts < context.settings.limits.max_attempts;
     const bool is_in_time = call->not_before < call->reject_after;
     if (!may_repeat || !has_attempts_left || !is_in_time) return answer(event.call);
     calls.enqueue(event.call);
@@ -116,7 +116,7 @@
 
   /// Enforces the rules for sending; every attempt goes through here. Returns false if a rule forbids it.
   bool send(Call& call, Server& server) {
-    const bool is_allowed = !call.server && call.attempts < context.settings.limits.max_tries &&
+    const bool is_allowed = !call.server && call.attempts < context.settings.limits.max_attempts &&
                             call.not_before <= context.now && context.now < call.request.expires &&
                             choice.is_eligible(server, call) && fleet.slow_start.may_send(server);
     if (!is_allowed) return false;
@@ -138,8 +138,8 @@
     const bool is_failed = call->may_have_run && !call->class_settings->idempotent;
     // An immediate redial would meet the same overload, and would weigh no more than a late call.
     const auto& limits = context.settings.limits;
-    const bool has_advice = limits.retry_advice && context.now < context.overloaded_until;
-    const RejectCall rejection{id, has_advice ? limits.max_retry_advice : Duration::zero()};
+    const bool has_advice = limits.may_advise_retry && context.now < context.overloaded_until;
+    const RejectCall rejection{id, has_advice ? limits.max_retry_after : Duration::zero()};
     context.emit(is_failed ? Action{FailCall{id}} : Action{rejection});
     finish(id);
   }
@@ -202,7 +202,7 @@
   settings.limits = limits;
   impl_->context.apply_classes();
 }
-std::size_t Admission::known_servers() const {
+std::size_t Admission::known_server_count() const {
   return impl_->context.servers.size();
 }
 std::uint64_t Admission::server_evaluations() const {
--- a/src/policy/call_queue.hpp
+++ b/src/policy/call_queue.hpp
@@ -84,7 +84,7 @@
   void cancel(CallId id) {
     auto* call = find(id);
     if (call == nullptr || !call->server || call->is_established || call->is_cancelling) return;
-    if (!context_.settings.limits.cancel) return;
+    if (!context_.settings.limits.may_cancel) return;
     call->is_cancelling = true;
     context_.emit(CancelAttempt{id, call->attempts - 1});
   }
--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -63,7 +63,7 @@
       if (outcome == Outcome::kError && !ended.is_caller_fault) ejection.on_error(server);
     } else {
       server.capacity.update(ended.report);
-      if (ended.report.wait) learn_queue_delay(server, *ended.report.wait);
+      if (ended.report.queue_delay) learn_queue_delay(server, *ended.report.queue_delay);
     }
   }
 
@@ -89,7 +89,7 @@
   }
 
   void on_response(Server& server, const LoadReport& report) {
-    if (report.wait) learn_queue_delay(server, *report.wait);
+    if (report.queue_delay) learn_queue_delay(server, *report.queue_delay);
     server.capacity.update(report);
     ejection.on_response(server);
   }
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -57,7 +57,7 @@
   /// Returns true while the server needs further checks.
   [[nodiscard]] bool check(Server& server) const {
     const bool needs_checks = !server.in_flight.empty() || (server.is_suspected && server.is_ready());
-    if (is_stalled(server) && !context_.settings.limits.probes) suspect(server, "silent");
+    if (is_stalled(server) && !context_.settings.limits.may_check_health) suspect(server, "silent");
     if (is_stalled(server)) check_health(server);  // a long queue looks the same: the health check decides
     calls_.cancel_overdue(server);
     if (server.is_suspected && server.is_ready()) check_health(server);
@@ -79,7 +79,7 @@
   void check_health(Server& server) const {
     if (context_.now < server.next_check) return;
     server.next_check = context_.now + scaled(context_.min_latency_objective, kHealthCheckObjectiveShare);
-    if (context_.settings.limits.probes) return context_.emit(CheckHealth{server.id});
+    if (context_.settings.limits.may_check_health) return context_.emit(CheckHealth{server.id});
     if (server.in_flight.empty()) clear_suspicion(server);
   }
   // Departure: a server suspected for longer than the least latency objective gets a slow start, as it may
--- a/src/policy/server.hpp
+++ b/src/policy/server.hpp
@@ -19,7 +19,7 @@
 
   void update(const LoadReport& report) {
     if (report.free_lines) free_lines = *report.free_lines;
-    if (report.lines) lines = *report.lines;
+    if (report.total_lines) lines = *report.total_lines;
     if (free_lines && lines) max_used = std::max(max_used, *lines - *free_lines);
   }
   /// Size by the lines that all senders use, with a minimum for a server that has just started. Returns zero
--- a/src/settings/json_text.hpp
+++ b/src/settings/json_text.hpp
@@ -14,18 +14,18 @@
 
 namespace amberknot::settings {
 
-inline constexpr unsigned kJsonFlags = rapidjson::kParseInsituFlag | rapidjson::kParseIterativeFlag |
-                                       rapidjson::kParseValidateEncodingFlag |
-                                       rapidjson::kParseNumbersAsStringsFlag;
+inline constexpr unsigned kJsonParseFlags = rapidjson::kParseInsituFlag | rapidjson::kParseIterativeFlag |
+                                            rapidjson::kParseValidateEncodingFlag |
+                                            rapidjson::kParseNumbersAsStringsFlag;
 
 /// Bytes that must follow the text when it is parsed in place: RapidJSON's UTF-8 validation reads this many
 /// bytes after a lead byte, even past the end of the text.
-inline constexpr std::size_t kJsonPad = 4;
+inline constexpr std::size_t kJsonPaddingBytes = 4;
 
 /// Parses in place; the document refers to `json` afterwards. Returns false if `json` is not valid JSON.
-template <unsigned kFlags = kJsonFlags>
+template <unsigned kFlags = kJsonParseFlags>
 bool parse_in_place(std::string& json, rapidjson::Document& to) {
-  json.append(kJsonPad, '\0');
+  json.append(kJsonPaddingBytes, '\0');
   to.ParseInsitu<kFlags>(json.data());
   return !to.HasParseError();
 }
@@ -40,25 +40,25 @@
 }
 
 /// The string's text; empty if the value is not a string.
-inline std::string_view text_of(const rapidjson::Value& value) {
+inline std::string_view string_value(const rapidjson::Value& value) {
   return value.IsString() ? std::string_view(value.GetString(), value.GetStringLength()) : std::string_view();
 }
 
 /// Returns null if `object` is not an object or has no such member.
-inline const rapidjson::Value* member(const rapidjson::Value& object, const char* name) {
+inline const rapidjson::Value* find_member(const rapidjson::Value& object, const char* name) {
   if (!object.IsObject()) return nullptr;
   const auto found = object.FindMember(name);
   return found == object.MemberEnd() ? nullptr : &found->value;
 }
 
 /// Text of a string member; empty if it is missing or not a string.
-inline std::string_view text_in(const rapidjson::Value& object, const char* name) {
-  const auto* value = member(object, name);
-  return value != nullptr ? text_of(*value) : std::string_view();
+inline std::string_view member_string(const rapidjson::Value& object, const char* name) {
+  const auto* value = find_member(object, name);
+  return value != nullptr ? string_value(*value) : std::string_view();
 }
 
 /// Parses the whole text as a finite number. Returns nothing if it is not one.
-inline std::optional<double> number_of(std::string_view text) {
+inline std::optional<double> parse_number(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
@@ -66,7 +66,7 @@
 }
 
 /// Appends `text` as a quoted and escaped JSON string.
-inline void append_quoted(std::string& to, std::string_view text) {
+inline void append_json_string(std::string& to, std::string_view text) {
   static constexpr char kHex[] = "0123456789abcdef";
   to += '"';
   for (const char c : text) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -153,13 +153,13 @@
 Limits read_limits(const KeyValuePairs& pairs) {
   constexpr std::uint32_t kMaxAttempts = 1'000'000;
   Limits limits;
-  limits.cancel = pairs.require_flag("limits.cancel");
-  limits.probes = pairs.require_flag("limits.probes");
-  limits.peers = pairs.require_flag("limits.peers");
-  limits.retry_advice = pairs.require_flag("limits.retry_after");
-  limits.max_tries = pairs.require_count("limits.most_tries", kMaxAttempts);
-  if (limits.max_tries == 0) throw SettingsError("setting must be greater than zero: limits.most_tries");
-  if (limits.retry_advice) limits.max_retry_advice = pairs.require_duration("limits.max_retry_after_us");
+  limits.may_cancel = pairs.require_flag("limits.cancel");
+  limits.may_check_health = pairs.require_flag("limits.probes");
+  limits.may_message_peers = pairs.require_flag("limits.peers");
+  limits.may_advise_retry = pairs.require_flag("limits.retry_after");
+  limits.max_attempts = pairs.require_count("limits.most_tries", kMaxAttempts);
+  if (limits.max_attempts == 0) throw SettingsError("setting must be greater than zero: limits.most_tries");
+  if (limits.may_advise_retry) limits.max_retry_after = pairs.require_duration("limits.max_retry_after_us");
   return limits;
 }
 
@@ -187,8 +187,8 @@
   settings.seed = seed;
   settings.peer_count = pairs.require_count("siblings", kMaxItems);
   if (settings.peer_count == 0) throw SettingsError("setting must be greater than zero: siblings");
-  settings.self = PeerId{pairs.require_count("self_index", kMaxItems)};
-  if (static_cast<std::uint32_t>(settings.self) >= settings.peer_count)
+  settings.own_id = PeerId{pairs.require_count("self_index", kMaxItems)};
+  if (static_cast<std::uint32_t>(settings.own_id) >= settings.peer_count)
     throw SettingsError("setting must be less than siblings: self_index");
   settings.endpoint_list_is_pushed = pairs.require_word("discovery", {"pushed", "on_request"}) == "pushed";
   settings.batch_interval = pairs.require_duration("round_us");
@@ -196,7 +196,7 @@
   settings.tenants = read_tenants(pairs);
   settings.limits = read_limits(pairs);
   settings.invariants = read_invariants(pairs);
-  settings.over_quota_weight = pairs.find_number("over_share_worth").value_or(1.0);
+  settings.over_quota_weight_factor = pairs.find_number("over_share_worth").value_or(1.0);
   if (const auto pool_number = pairs.find_number("family_info.self_no"); pool_number && *pool_number >= 0) {
     settings.own_pool = PoolId{static_cast<std::uint32_t>(*pool_number)};
   }
--- a/src/settings/sse.cpp
+++ b/src/settings/sse.cpp
@@ -2,7 +2,7 @@
 
 namespace amberknot::settings {
 
-bool SseReader::feed(std::string_view piece, const std::function<void(const SseEvent&)>& on_event) {
+bool SseParser::feed(std::string_view piece, const std::function<void(const SseEvent&)>& on_event) {
   for (const char c : piece) {
     if (c == '\n' && after_cr_) {
       after_cr_ = false;
@@ -21,7 +21,7 @@
   return true;
 }
 
-void SseReader::on_line(const std::function<void(const SseEvent&)>& on_event) {
+void SseParser::on_line(const std::function<void(const SseEvent&)>& on_event) {
   if (line_.empty()) {
     if (has_data_) on_event(event_);
     event_.data.clear();
--- a/src/settings/sse.hpp
+++ b/src/settings/sse.hpp
@@ -17,11 +17,11 @@
 };
 
 /// Reads server-sent events from pieces that may be split anywhere, even inside a line end.
-class SseReader {
+class SseParser {
  public:
-  SseReader() = default;
+  SseParser() = default;
   /// `max_bytes` limits an unfinished line together with the data of its event.
-  explicit SseReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
+  explicit SseParser(std::size_t max_bytes) : max_bytes_(max_bytes) {}
   /// Calls `on_event` for each complete event. Returns false if a line or an event exceeds the limit.
   bool feed(std::string_view piece, const std::function<void(const SseEvent&)>& on_event);
 
--- a/src/simhost/host.cpp
+++ b/src/simhost/host.cpp
@@ -33,15 +33,15 @@
     if (!std::isfinite(value) || value < 0) continue;
     const auto& name = report_columns[i];
     if (name == "idle") load_report.free_lines = value;
-    if (name == "circuits") load_report.lines = value;
+    if (name == "circuits") load_report.total_lines = value;
     if (name == "lat_ms" && value < 1e9) {
-      load_report.wait = Duration{static_cast<std::int64_t>(value * kMicrosPerMilli)};
+      load_report.queue_delay = Duration{static_cast<std::int64_t>(value * kMicrosPerMilli)};
     }
     if (name == "max_rate") load_report.accept_rate = value;
-    if (name == "reduce") load_report.hold_back = value;
-    if (name == "rif") load_report.in_work = value;
-    if (name == "q") load_report.waiting = value;
-    if (name == "busy") load_report.busy = value;
+    if (name == "reduce") load_report.requested_rejection_share = value;
+    if (name == "rif") load_report.in_progress = value;
+    if (name == "q") load_report.queued = value;
+    if (name == "busy") load_report.utilization = value;
   }
   return load_report;
 }
--- a/src/sip/codec.cpp
+++ b/src/sip/codec.cpp
@@ -52,17 +52,17 @@
 
 }  // namespace
 
-SipRead read_sip(std::string_view bytes, std::size_t max_size) {
-  SipRead read;
+SipParseResult parse_sip_message(std::string_view bytes, std::size_t max_size) {
+  SipParseResult read;
   // Peers may send blank lines between messages as keep-alives (RFC 5626, section 3.5.1).
   std::size_t at = 0;
   while (at < bytes.size() && (bytes[at] == '\r' || bytes[at] == '\n')) ++at;
   const std::size_t end = bytes.find("\r\n\r\n", at);
   if (end == std::string_view::npos) {
-    if (bytes.size() - at > max_size) read.state = SipRead::State::kBad;
+    if (bytes.size() - at > max_size) read.state = SipParseResult::State::kMalformed;
     return read;
   }
-  read.state = SipRead::State::kBad;
+  read.state = SipParseResult::State::kMalformed;
   auto& head = read.head;
   head.head_size = end + 4;
   bool has_content_length = false;
@@ -105,11 +105,11 @@
   }
   if (head.status != 0 && head.method.empty()) return read;
   if (bytes.size() < read.size()) {
-    read.state = SipRead::State::kMore;
+    read.state = SipParseResult::State::kIncomplete;
     return read;
   }
   read.body = bytes.substr(head.head_size, head.body_size);
-  read.state = SipRead::State::kWhole;
+  read.state = SipParseResult::State::kComplete;
   return read;
 }
 
@@ -182,11 +182,11 @@
 
 }  // namespace
 
-std::string invite_head(const SipCall& call, std::string_view via, std::string_view call_class, Duration wait,
-                        std::size_t body_size) {
+std::string invite_head(const SipCall& call, std::string_view via, std::string_view call_class,
+                        Duration answer_timeout, std::size_t body_size) {
   auto head = start_request("INVITE", call.number, via, call.id, call.sequence);
   head.append("X-Cos: ").append(call_class).append("\r\nX-Timer-Ms: ");
-  head.append(std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(wait).count()));
+  head.append(std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(answer_timeout).count()));
   head.append("\r\nContent-Length: ").append(std::to_string(body_size)).append("\r\n\r\n");
   return head;
 }
@@ -204,7 +204,7 @@
   return start_request("OPTIONS", "load", via, id, 1).append("Content-Length: 0\r\n\r\n");
 }
 
-std::string ok_head(const SipHead& request) {
+std::string ok_response_head(const SipHead& request) {
   std::string head = "SIP/2.0 200 OK\r\n";
   if (!request.via.empty()) head.append("Via: ").append(request.via).append("\r\n");
   head.append("Call-ID: ").append(request.call_id).append("\r\nCSeq: ").append(request.cseq);
--- a/src/sip/codec.hpp
+++ b/src/sip/codec.hpp
@@ -24,11 +24,11 @@
   std::size_t body_size = 0;  ///< bytes, from Content-Length
 };
 
-/// Result of read_sip(). `kMore`: the message is incomplete; `kBad`: it cannot be parsed, and the connection
-/// is out of sync; `kWhole`: `head` and `body` are set.
-struct SipRead {
-  enum class State { kMore, kBad, kWhole };
-  State state = State::kMore;
+/// Result of parse_sip_message(). `kIncomplete`: the message is incomplete; `kMalformed`: it cannot be
+/// parsed, and the connection is out of sync; `kComplete`: `head` and `body` are set.
+struct SipParseResult {
+  enum class State { kIncomplete, kMalformed, kComplete };
+  State state = State::kIncomplete;
   SipHead head;
   std::string_view body;
   /// Bytes that the message takes up in the buffer.
@@ -37,7 +37,7 @@
 
 /// Parses the first message in the buffer. A message of more than `max_size` bytes is bad. The views in the
 /// result refer to the buffer.
-SipRead read_sip(std::string_view bytes, std::size_t max_size);
+SipParseResult parse_sip_message(std::string_view bytes, std::size_t max_size);
 
 /// Whether a body can be a session description: non-empty UTF-8 text without control characters other than
 /// CR, LF and TAB, and without a truncated sequence at its end.
@@ -59,16 +59,16 @@
   std::uint32_t sequence = 1;
 };
 
-/// Returns the head of an INVITE. `wait` is how long the router waits for an answer (X-Timer-Ms), `body_size`
-/// the length of the body that follows, in bytes.
-std::string invite_head(const SipCall& call, std::string_view via, std::string_view call_class, Duration wait,
-                        std::size_t body_size);
+/// Returns the head of an INVITE. `answer_timeout` is how long the router waits for an answer (X-Timer-Ms),
+/// `body_size` the length of the body that follows, in bytes.
+std::string invite_head(const SipCall& call, std::string_view via, std::string_view call_class,
+                        Duration answer_timeout, std::size_t body_size);
 /// Returns an ACK, CANCEL or BYE without a body. A cause is written as the Reason header.
 std::string request_head(std::string_view method, const SipCall& call, std::string_view via,
                          std::optional<core::Cause> cause = std::nullopt);
 /// Returns an OPTIONS request, which servers answer with a load report.
 std::string options_head(std::string_view id, std::string_view via);
 /// Returns a 200 OK response to a request from the peer.
-std::string ok_head(const SipHead& request);
+std::string ok_response_head(const SipHead& request);
 
 }  // namespace amberknot::sip
--- a/src/sip/connection_pool.cpp
+++ b/src/sip/connection_pool.cpp
@@ -67,7 +67,8 @@
 }  // namespace
 
 /// A connection to a server, and the attempts and releases that were sent on it.
-struct ConnectionPool::Connection : net::TcpConnection::Owner, std::enable_shared_from_this<Connection> {
+struct ConnectionPool::Connection : net::TcpConnection::EventHandler,
+                                    std::enable_shared_from_this<Connection> {
   Connection(ConnectionPool& pool, Server& server) : pool(pool), server(server) {}
   void on_open(net::TcpConnection& /*stream*/) override { pool.on_connection_open(*this); }
   void on_connect_timeout(net::TcpConnection& /*stream*/) override { pool.on_connect_timeout(*this); }
@@ -86,7 +87,7 @@
   ConnectionPool& pool;
   Server& server;
   std::shared_ptr<net::TcpConnection> stream;
-  std::vector<core::AttemptRef> in_flight;      ///< in the order they were queued
+  std::vector<core::AttemptId> in_flight;       ///< in the order they were queued
   std::deque<PendingRelease> pending_releases;  ///< not confirmed by the server yet
   std::size_t established = 0;                  ///< established calls that were set up on this connection
   int move_count = 0;                           ///< highest number of moves of any set-up queued here
@@ -175,16 +176,16 @@
   auto& server = find_or_create_server(endpoint.id);
   const bool has_moved = !server.address.empty() && server.address != endpoint.address;
   server.address = endpoint.address;
-  std::vector<core::AttemptRef> withdrawn_refs;
+  std::vector<core::AttemptId> withdrawn_refs;
   if (endpoint.state != EndpointState::kReady || has_moved) {
     // A set-up must not be written to a draining server: set-ups that wait on a connecting or blocked socket
     // are withdrawn. They must not reach an address that the server has left either.
     for (const auto& connection : server.connections) {
       for (const auto& ref : connection->in_flight) {
-        if (connection->stream->take_back(attempt_tag(ref))) withdrawn_refs.push_back(ref);
+        if (connection->stream->withdraw(attempt_tag(ref))) withdrawn_refs.push_back(ref);
       }
     }
-    counters_.withdrawn += withdrawn_refs.size();
+    counters_.withdrawn_set_ups += withdrawn_refs.size();
     for (const auto& ref : withdrawn_refs) remove_attempt(find_attempt(ref));
   }
   server.is_listed = endpoint.state != EndpointState::kRemoved;
@@ -197,7 +198,7 @@
   }
   if (!server.is_listed) {
     server.unsent_releases.clear();
-    loop_.wheel.cancel(std::exchange(server.retry_timer, 0));
+    loop_.timers.cancel(std::exchange(server.retry_timer, 0));
   }
   if (server.is_listed) open_warm_connections(server);
   // Reported last, because ended attempts are routed again at once and must not find the old connections.
@@ -210,7 +211,7 @@
   const auto found = servers_by_id_.find(id);
   if (found == servers_by_id_.end()) return;
   auto& server = *found->second;
-  loop_.wheel.cancel(server.retry_timer);
+  loop_.timers.cancel(server.retry_timer);
   for (const auto& connection : server.connections) connection->stream->close();
   for (const auto& connection : server.half_closed) connection->stream->close();
   connection_count_ -= server.connections.size() + server.half_closed.size();
@@ -219,7 +220,7 @@
     if (health_check.server == id) health_check_ids.push_back(key);
   }
   for (const auto& key : health_check_ids) {
-    loop_.wheel.cancel(pending_health_checks_.at(key).timeout_timer);
+    loop_.timers.cancel(pending_health_checks_.at(key).timeout_timer);
     pending_health_checks_.erase(key);
   }
   servers_by_id_.erase(found);
@@ -242,13 +243,13 @@
 }
 
 void ConnectionPool::connect(Server& server) {
-  const auto address = net::read_endpoint(server.address);
+  const auto address = net::parse_endpoint(server.address);
   if (!address) {
     net::log::warn("sip: no connection to a server: cannot parse its address as host:port: ", server.address);
     return;
   }
   // The connection limit does not apply to the first connection of a server; the number of servers is small.
-  if (connection_count_ >= limits_.upstream_connections && !close_oldest_half_closed() &&
+  if (connection_count_ >= limits_.max_upstream_connections && !close_oldest_half_closed() &&
       !server.connections.empty())
     return;
   auto connection = std::make_shared<Connection>(*this, server);
@@ -293,7 +294,7 @@
   return server.connections.size() > count ? server.connections.back() : avoided;
 }
 
-const ConnectionPool::Connection* ConnectionPool::recently_ended_on(const core::AttemptRef& attempt) const {
+const ConnectionPool::Connection* ConnectionPool::recently_ended_on(const core::AttemptId& attempt) const {
   if (attempt.attempt == 0) return nullptr;
   for (auto ended = recently_ended_.rbegin(); ended != recently_ended_.rend(); ++ended) {
     if (ended->call != attempt.call) continue;
@@ -322,7 +323,7 @@
   auto& server = connection.server;
   auto unsent = connection.stream->take_unsent();
   const bool may_move = server.is_listed && (server.open_connections() > 0 || !is_unreachable);
-  std::vector<core::AttemptRef> withdrawn;
+  std::vector<core::AttemptId> withdrawn;
   for (auto& message : unsent) {
     if (message.tag == 0) continue;
     const auto ref = std::find_if(connection.in_flight.begin(), connection.in_flight.end(),
@@ -335,7 +336,7 @@
       withdrawn.push_back(*ref);
       continue;
     }
-    ++counters_.moved;
+    ++counters_.moved_set_ups;
     replacement->move_count = std::max(replacement->move_count, connection.move_count + 1);
     replacement->in_flight.push_back(*ref);
     attempt->second.connection = replacement;
@@ -364,7 +365,7 @@
   for (auto& release : std::exchange(connection.pending_releases, {}))
     send_release(server, std::move(release.id), std::move(release.text));
   if (server.connections.size() - server.counted_connections() > kMaxLateConnections) {
-    connection.stream->fail(net::CloseReason::kNeverUp);
+    connection.stream->fail(net::CloseReason::kConnectFailed);
     return;
   }
   // The server may send releases on the next connection that opens at its end, which may be one that never
@@ -393,14 +394,15 @@
   const bool was_open = connection.connected_at != Instant{};
   if (was_open) {
     net::log::info(connection_log_limit_, "sip: connection closed: ", servers_.find(server.id)->name, ": ",
-                   name(reason));
+                   close_reason_name(reason));
   } else {
-    net::log::debug("sip: connect failed: ", servers_.find(server.id)->name, ": ", name(reason));
+    net::log::debug("sip: connect failed: ", servers_.find(server.id)->name, ": ", close_reason_name(reason));
   }
-  server.consecutive_refusals = reason == net::CloseReason::kRefused ? server.consecutive_refusals + 1 : 0;
+  server.consecutive_refusals =
+      reason == net::CloseReason::kConnectionRefused ? server.consecutive_refusals + 1 : 0;
 
-  move_unsent_set_ups(connection,
-                      reason == net::CloseReason::kRefused || reason == net::CloseReason::kNeverUp);
+  move_unsent_set_ups(connection, reason == net::CloseReason::kConnectionRefused ||
+                                      reason == net::CloseReason::kConnectFailed);
   // The server may or may not have received the set-ups that were sent on a lost connection.
   end_attempts_on(connection, was_open ? Outcome::kReset : Outcome::kConnectFailed);
   for (auto& release : std::exchange(connection.pending_releases, {})) {
@@ -409,10 +411,10 @@
   }
   // The established calls are lost with the server process, which cannot report that any more.
   if (server.consecutive_refusals >= kRefusalsUntilDown && server.open_connections() == 0) {
-    table_.abort_all(server.id, "connection refused");
+    table_.abort_calls_at(server.id, "connection refused");
   }
   const bool has_established = has_established_calls_at(server.id);
-  if (was_open && reason != net::CloseReason::kEnded && has_established)
+  if (was_open && reason != net::CloseReason::kClosedByPeer && has_established)
     server.releases_maybe_lost_since = now;
   if (!has_established ||
       (server.releases_maybe_lost_since && now - *server.releases_maybe_lost_since > kReleaseRetention))
@@ -420,7 +422,7 @@
   // Callers must get a release within 1 s, so a longer backoff that an earlier connection started is not
   // waited for.
   if (server.releases_maybe_lost_since) {
-    loop_.wheel.cancel(std::exchange(server.retry_timer, 0));
+    loop_.timers.cancel(std::exchange(server.retry_timer, 0));
     server.backoff = kMinBackoff;
   }
   if (!server.is_listed || server.retry_timer != 0) return;
@@ -429,7 +431,7 @@
     open_warm_connections(server);
     return;
   }
-  server.retry_timer = loop_.after(server.backoff, [this, &server] {
+  server.retry_timer = loop_.run_after(server.backoff, [this, &server] {
     server.retry_timer = 0;
     open_warm_connections(server);
   });
@@ -442,7 +444,7 @@
 void ConnectionPool::half_close(Connection& connection, net::CloseReason reason) {
   auto& server = connection.server;
   const auto keep_alive = connection.shared_from_this();
-  if (connection_count_ >= limits_.upstream_connections || !connection.stream->is_open()) {
+  if (connection_count_ >= limits_.max_upstream_connections || !connection.stream->is_open()) {
     connection.stream->fail(reason);
     return;
   }
@@ -460,9 +462,9 @@
   --connection_count_;
   // The server closed it too, so everything it sent on that connection has arrived. A reset, however, may
   // have destroyed messages in transit.
-  if (reason == net::CloseReason::kEnded || !has_established_calls_at(server.id)) return;
+  if (reason == net::CloseReason::kClosedByPeer || !has_established_calls_at(server.id)) return;
   server.releases_maybe_lost_since = net::Loop::now();
-  loop_.wheel.cancel(std::exchange(server.retry_timer, 0));
+  loop_.timers.cancel(std::exchange(server.retry_timer, 0));
   server.backoff = kMinBackoff;
   open_warm_connections(server);
 }
@@ -508,7 +510,7 @@
   server.reopened_at = net::Loop::now();
   server.releases_maybe_lost_since = server.reopened_at;
   if (server.counted_connections() < kMaxConnections) {
-    loop_.wheel.cancel(std::exchange(server.retry_timer, 0));
+    loop_.timers.cancel(std::exchange(server.retry_timer, 0));
     open_warm_connections(server);
     return;
   }
@@ -519,7 +521,7 @@
       });
   if (idle == server.connections.end()) return;
   const auto connection = *idle;
-  half_close(*connection, net::CloseReason::kEnded);
+  half_close(*connection, net::CloseReason::kClosedByPeer);
 }
 
 bool ConnectionPool::has_established_calls_at(ServerId server) const {
@@ -579,7 +581,7 @@
 }
 
 void ConnectionPool::schedule_check() {
-  loop_.after(kCheckInterval, [this] {
+  loop_.run_after(kCheckInterval, [this] {
     const Instant now = net::Loop::now();
     std::vector<std::shared_ptr<Connection>> stalled;
     std::vector<Server*> to_reopen;
@@ -613,7 +615,7 @@
 
 // ---- requests of the core --------------------------------------------------------------------------------
 
-void ConnectionPool::set_up(const core::SetUp& set_up) {
+void ConnectionPool::set_up(const core::OutgoingSetUp& set_up) {
   auto& server = find_or_create_server(set_up.attempt.server);
   // An answer identifies its call but not its attempt. If an earlier attempt of the call was sent, the next
   // one uses another connection, where no second or late answer to the earlier one can arrive.
@@ -635,11 +637,11 @@
   connection->in_flight.push_back(set_up.attempt);
   if (!connection->unanswered_since) connection->unanswered_since = net::Loop::now();
   connection->stream->send(invite_head({set_up.id, set_up.number, set_up.attempt.attempt + 1}, own_name_,
-                                       set_up.call_class, set_up.wait, set_up.description.size()),
+                                       set_up.call_class, set_up.answer_timeout, set_up.description.size()),
                            std::string(set_up.description), attempt_tag(set_up.attempt));
 }
 
-bool ConnectionPool::cancel(const core::AttemptRef& attempt) {
+bool ConnectionPool::cancel(const core::AttemptId& attempt) {
   const auto found = find_attempt(attempt);
   if (found == attempts_.end()) return false;
   const auto connection = found->second.connection;
@@ -647,8 +649,8 @@
   const std::string id = found->first.second;
   remove_attempt(found);
   if (!connection || connection->stream->is_closed()) return false;
-  if (connection->stream->take_back(attempt_tag(attempt))) {
-    ++counters_.withdrawn;
+  if (connection->stream->withdraw(attempt_tag(attempt))) {
+    ++counters_.withdrawn_set_ups;
     // It was never sent, so a missing answer to it says nothing about the connection.
     if (connection->in_flight.empty() && !connection->stall_suspected_at)
       connection->unanswered_since.reset();
@@ -661,7 +663,7 @@
   return false;
 }
 
-void ConnectionPool::release(const core::AttemptRef& attempt, core::Cause cause) {
+void ConnectionPool::release(const core::AttemptId& attempt, core::Cause cause) {
   const auto found = find_attempt(attempt);
   if (found == attempts_.end()) return;
   std::string id = found->first.second;
@@ -683,7 +685,7 @@
       return;
     }
   }
-  if (!server.is_listed || server.unsent_releases.size() >= limits_.waiting_of_one) return;
+  if (!server.is_listed || server.unsent_releases.size() >= limits_.max_undelivered_releases_per_peer) return;
   server.unsent_releases.emplace_back(std::move(id), std::move(release));
   open_warm_connections(server);
 }
@@ -694,7 +696,7 @@
   char id_text[17];
   std::snprintf(id_text, sizeof id_text, "%016llx", static_cast<unsigned long long>(next_health_check_id_++));
   PendingHealthCheck health_check{id, connection, net::Loop::now(), 0};
-  health_check.timeout_timer = loop_.after(kHealthCheckTimeout, [this, key = std::string(id_text)] {
+  health_check.timeout_timer = loop_.run_after(kHealthCheckTimeout, [this, key = std::string(id_text)] {
     end_health_check(key, Outcome::kTimeout, {});
   });
   pending_health_checks_.emplace(id_text, std::move(health_check));
@@ -706,7 +708,7 @@
   if (found == pending_health_checks_.end()) return;
   const auto health_check = std::move(found->second);
   pending_health_checks_.erase(found);
-  loop_.wheel.cancel(health_check.timeout_timer);
+  loop_.timers.cancel(health_check.timeout_timer);
   table_.on_health_check_result(health_check.server, outcome, net::Loop::now() - health_check.sent_at, load);
 }
 
@@ -720,7 +722,7 @@
   attempts_.erase(at);
 }
 
-ConnectionPool::Attempts::iterator ConnectionPool::find_attempt(const core::AttemptRef& attempt) {
+ConnectionPool::Attempts::iterator ConnectionPool::find_attempt(const core::AttemptId& attempt) {
   const auto key = keys_by_call_.find(attempt.call);
   if (key == keys_by_call_.end()) return attempts_.end();
   const auto found = attempts_.find(key->second);
@@ -739,10 +741,10 @@
   connection.stall_suspected_at.reset();
   std::size_t taken = 0;
   while (taken < bytes.size()) {
-    const auto read = read_sip({bytes.data() + taken, bytes.size() - taken}, net::kMaxMessage);
-    if (read.state == SipRead::State::kMore) break;
-    if (read.state == SipRead::State::kBad) {
-      ++counters_.unreadable;
+    const auto read = parse_sip_message({bytes.data() + taken, bytes.size() - taken}, net::kMaxMessageBytes);
+    if (read.state == SipParseResult::State::kIncomplete) break;
+    if (read.state == SipParseResult::State::kMalformed) {
+      ++counters_.unreadable_messages;
       net::log::warn(malformed_log_limit_, "sip: cannot parse a message head from ",
                      servers_.find(connection.server.id)->name, ": connection closed");
       connection.stream->fail(net::CloseReason::kReset);
@@ -760,7 +762,7 @@
   return taken;
 }
 
-void ConnectionPool::on_message(Connection& connection, const SipRead& read) {
+void ConnectionPool::on_message(Connection& connection, const SipParseResult& read) {
   const auto& head = read.head;
   if (head.status != 0) {
     if (head.method == "INVITE") {
@@ -781,11 +783,11 @@
   } else if (head.method == "BYE") {
     on_bye(connection, head);
   } else if (head.method != "ACK") {
-    connection.stream->send(ok_head(head));
+    connection.stream->send(ok_response_head(head));
   }
 }
 
-void ConnectionPool::on_invite_answer(Connection& connection, const SipRead& read) {
+void ConnectionPool::on_invite_answer(Connection& connection, const SipParseResult& read) {
   const auto& head = read.head;
   auto& server = connection.server;
   if (head.status < 200) return;
@@ -875,7 +877,7 @@
 }
 
 void ConnectionPool::on_bye(Connection& connection, const SipHead& head) {
-  connection.stream->send(ok_head(head));
+  connection.stream->send(ok_response_head(head));
   const auto found = attempts_.find({connection.server.id, std::string(head.call_id)});
   if (found == attempts_.end()) {
     ++counters_.unknown_ids;  // normal: servers repeat a release on the next connection that opens
--- a/src/sip/connection_pool.hpp
+++ b/src/sip/connection_pool.hpp
@@ -33,10 +33,10 @@
   /// Number of servers known to the pool.
   [[nodiscard]] std::size_t servers() const { return servers_by_id_.size(); }
 
-  void set_up(const core::SetUp& set_up) override;
-  bool cancel(const core::AttemptRef& attempt) override;
-  void release(const core::AttemptRef& attempt, core::Cause cause) override;
-  void forget(const core::AttemptRef& attempt) override { remove_attempt(find_attempt(attempt)); }
+  void set_up(const core::OutgoingSetUp& set_up) override;
+  bool cancel(const core::AttemptId& attempt) override;
+  void release(const core::AttemptId& attempt, core::Cause cause) override;
+  void forget_attempt(const core::AttemptId& attempt) override { remove_attempt(find_attempt(attempt)); }
   void check_health(ServerId server) override;
 
  private:
@@ -46,7 +46,7 @@
   using HalfClosed = std::vector<std::shared_ptr<Connection>>;
   /// An attempt in flight or an established call.
   struct Attempt {
-    core::AttemptRef ref;
+    core::AttemptId ref;
     std::string number;
     /// The connection it was sent on; null once the call is established or the connection is lost.
     std::shared_ptr<Connection> connection;
@@ -76,7 +76,7 @@
   /// and none can be opened.
   std::shared_ptr<Connection> pick_connection(Server& server, const Connection* avoid = nullptr);
   /// Returns the connection that a recent attempt of the call at that server was sent on, or null.
-  [[nodiscard]] const Connection* recently_ended_on(const core::AttemptRef& attempt) const;
+  [[nodiscard]] const Connection* recently_ended_on(const core::AttemptId& attempt) const;
   void on_connection_open(Connection& connection);
   /// The connect timeout has expired. Set-ups that wait for the connection move away; it may still open for
   /// others.
@@ -103,8 +103,8 @@
   /// Opens another connection, on which the server repeats its unconfirmed releases.
   void open_connection_for_releases(Server& server);
   std::size_t on_connection_bytes(Connection& connection, std::span<char> bytes);
-  void on_message(Connection& connection, const SipRead& read);
-  void on_invite_answer(Connection& connection, const SipRead& read);
+  void on_message(Connection& connection, const SipParseResult& read);
+  void on_invite_answer(Connection& connection, const SipParseResult& read);
   void on_bye(Connection& connection, const SipHead& head);
   void send_release(Server& server, std::string id, std::string release);
   [[nodiscard]] bool has_established_calls_at(ServerId server) const;
@@ -113,9 +113,9 @@
   void schedule_check();
   static void update_stall_detection(Connection& connection, Instant now);
   [[nodiscard]] static bool is_stalled(const Connection& connection, Instant now);
-  Attempts::iterator find_attempt(const core::AttemptRef& attempt);
+  Attempts::iterator find_attempt(const core::AttemptId& attempt);
   void remove_attempt(Attempts::iterator at);
-  static net::TcpConnection::Tag attempt_tag(const core::AttemptRef& attempt) {
+  static net::TcpConnection::Tag attempt_tag(const core::AttemptId& attempt) {
     return (static_cast<net::TcpConnection::Tag>(attempt.call) << 8U) + attempt.attempt + 1;
   }
 
--- a/src/tool/commands.cpp
+++ b/src/tool/commands.cpp
@@ -13,17 +13,18 @@
 namespace {
 
 using translate::Dialect;
-using translate::Kind;
+using translate::MessageKind;
 
 const std::vector<std::string> kClientDialects = {"json-lines", "diameter", "iso8583"};
 const std::vector<std::string> kServerDialects = {"sip", "diameter-server", "session-1", "session-2"};
 
-std::string describe(const core::ErrorMeaning& meaning) {
+std::string describe(const core::ErrorClassification& meaning) {
   std::string text(core::name_of(meaning.reason));
-  text += meaning.ran == core::Ran::kNo ? ", not executed" : ", may have been executed";
-  text += meaning.about == core::About::kServer    ? ", about the server"
-          : meaning.about == core::About::kVersion ? ", about its version"
-                                                   : ", about the call";
+  text += meaning.execution_state == core::ExecutionState::kNotExecuted ? ", not executed"
+                                                                        : ", may have been executed";
+  text += meaning.scope == core::ErrorScope::kServer    ? ", about the server"
+          : meaning.scope == core::ErrorScope::kVersion ? ", about its version"
+                                                        : ", about the call";
   return text;
 }
 
@@ -48,8 +49,8 @@
     const auto translator = app::make_translator(file);
     out << name << ": valid";
     if (translator)
-      out << ", " << translator->clients() << " client dialects and " << translator->servers()
-          << " server dialects";
+      out << ", " << translator->client_dialect_count() << " client dialects and "
+          << translator->server_dialect_count() << " server dialects";
     out << "\n";
     return true;
   } catch (const app::ConfigError& error) {
@@ -58,12 +59,12 @@
   }
 }
 
-translate::Table read_translation_table(const std::string& json) {
+translate::MappingTable read_translation_table(const std::string& json) {
   return app::read_operator_file(json).translate;
 }
 
 bool explain(const std::string& from, const std::string& to, const std::string& kind_name,
-             const translate::Table& table,
+             const translate::MappingTable& table,
              const std::vector<std::pair<std::string, std::string>>& field_values, std::ostream& out) {
   const auto* source = translate::find_dialect(from);
   const auto* target = translate::find_dialect(to);
@@ -88,7 +89,7 @@
       out << from << " has no field " << name << "\n";
       return false;
     }
-    if (translate::is_textual(fields[index].type)) {
+    if (translate::is_text(fields[index].type)) {
       in.set(index, std::string_view(value));
       continue;
     }
@@ -100,13 +101,13 @@
     }
     in.set(index, number);
   }
-  if (const auto invalid = translate::fault_in(fields, in)) {
+  if (const auto invalid = translate::find_invalid_field(fields, in)) {
     out << fields[*invalid].name << (in.has(*invalid) ? " has an invalid value" : " is missing")
-        << ": expected a " << name_of(fields[*invalid].type) << " from " << fields[*invalid].least << " to "
-        << fields[*invalid].most << "\n";
+        << ": expected a " << name_of(fields[*invalid].type) << " from " << fields[*invalid].min << " to "
+        << fields[*invalid].max << "\n";
     return false;
   }
-  const auto result = program->run(in, translated);
+  const auto result = program->translate_record(in, translated);
   const auto& to_fields = program->to_fields();
   if (!result) {
     out << "not eligible for " << to << ": " << to_fields[result.field].name << ": "
@@ -122,23 +123,24 @@
     out << note.field;
     if (index < to_fields.size() && result && translated.has(index)) {
       out << " = "
-          << (translate::is_textual(to_fields[index].type) ? std::string(translated.text(index))
-                                                           : std::to_string(translated.number(index)));
+          << (translate::is_text(to_fields[index].type) ? std::string(translated.text(index))
+                                                        : std::to_string(translated.number(index)));
     }
     out << ": " << note.text << "\n";
   }
   return static_cast<bool>(result);
 }
 
-bool matrix(const translate::Table& table, std::ostream& out) {
+bool matrix(const translate::MappingTable& table, std::ostream& out) {
   const translate::Translator translator(kClientDialects, kServerDialects, table);
   bool all_mapped = true;
   out << "translation of set-ups (and the fields that are lost):\n";
-  for (std::size_t client = 0; client < translator.clients(); ++client) {
-    for (std::size_t i = 0; i < translator.servers(); ++i) {
+  for (std::size_t client = 0; client < translator.client_dialect_count(); ++client) {
+    for (std::size_t i = 0; i < translator.server_dialect_count(); ++i) {
       const auto version = static_cast<ProtocolVersion>(i);
       const auto* mapping = translator.mapping(client, version);
-      out << "  " << translator.client(client).name << " to " << translator.server(version).name << ": ";
+      out << "  " << translator.client_dialect(client).name << " to "
+          << translator.server_dialect(version).name << ": ";
       if (mapping == nullptr) {
         all_mapped = false;
         out << "refused\n";
@@ -151,19 +153,20 @@
       out << (lost.empty() ? "nothing is lost" : "loses " + lost) << "\n";
     }
   }
-  for (const auto& fault : translator.faults()) out << "  fault: " << fault << "\n";
+  for (const auto& fault : translator.mapping_errors()) out << "  fault: " << fault << "\n";
   out << "errors (and the code that each client receives):\n";
-  for (std::size_t i = 0; i < translator.servers(); ++i) {
-    const auto& server = translator.server(static_cast<ProtocolVersion>(i));
+  for (std::size_t i = 0; i < translator.server_dialect_count(); ++i) {
+    const auto& server = translator.server_dialect(static_cast<ProtocolVersion>(i));
     for (const auto& error : server.errors) {
       out << "  " << server.name << " " << code_of(error) << ": " << describe(error.meaning) << ":";
-      for (std::size_t client = 0; client < translator.clients(); ++client) {
-        const auto& dialect = translator.client(client);
-        const auto& reason_code = translate::word_for(dialect, error.meaning.reason);
+      for (std::size_t client = 0; client < translator.client_dialect_count(); ++client) {
+        const auto& dialect = translator.client_dialect(client);
+        const auto& reason_code = translate::code_for_reason(dialect, error.meaning.reason);
         out << (client == 0 ? " " : ", ") << dialect.name << " " << reason_code.code;
       }
-      out << (core::facts_of(error.meaning.reason).final_answer == core::Final::kRejected ? " (refused)"
-                                                                                          : " (failed)")
+      out << (core::info_of(error.meaning.reason).final_answer == core::FinalAnswerKind::kRejected
+                  ? " (refused)"
+                  : " (failed)")
           << "\n";
     }
   }
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -36,7 +36,7 @@
   auto* translate = program.add_subcommand("translate", "show how messages are translated between protocols");
   translate->require_subcommand(1);
   const auto table = [&file] {
-    return file.empty() ? translate::Table() : tool::read_translation_table(app::read_file(file));
+    return file.empty() ? translate::MappingTable() : tool::read_translation_table(app::read_file(file));
   };
 
   auto* matrix = translate->add_subcommand(
--- a/src/translate/canonical.cpp
+++ b/src/translate/canonical.cpp
@@ -20,11 +20,11 @@
 
 }  // namespace
 
-std::string_view name_of(Kind kind) {
+std::string_view name_of(MessageKind kind) {
   return kKindNames[static_cast<std::size_t>(kind)];
 }
-std::optional<Kind> kind_of(std::string_view name) {
-  return find_by_name<Kind>(kKindNames, name);
+std::optional<MessageKind> kind_of(std::string_view name) {
+  return find_by_name<MessageKind>(kKindNames, name);
 }
 std::string_view name_of(Meaning meaning) {
   return kMeaningNames[static_cast<std::size_t>(meaning)];
--- a/src/translate/dialect.cpp
+++ b/src/translate/dialect.cpp
@@ -7,40 +7,40 @@
 namespace {
 
 constexpr std::int64_t kMaxDescription = 8192;
-constexpr std::int64_t kMaxPatience = 600'000'000;  // 10 minutes in microseconds
+constexpr std::int64_t kMaxRemainingWait = 600'000'000;  // 10 minutes in microseconds
 
-FieldSpec text(std::string name, Meaning meaning, std::int64_t least, std::int64_t most,
-               bool required = true) {
-  return {std::move(name), meaning, Type::kText, least, most, required};
+FieldSpec text(std::string name, Meaning meaning, std::int64_t min, std::int64_t max, bool required = true) {
+  return {std::move(name), meaning, FieldType::kText, min, max, required};
 }
-FieldSpec token(std::string name, Meaning meaning, std::int64_t least, std::int64_t most,
-                bool required = true) {
-  return {std::move(name), meaning, Type::kToken, least, most, required};
+FieldSpec token(std::string name, Meaning meaning, std::int64_t min, std::int64_t max, bool required = true) {
+  return {std::move(name), meaning, FieldType::kToken, min, max, required};
 }
-FieldSpec digits(std::string name, Meaning meaning, std::int64_t least, std::int64_t most,
+FieldSpec digits(std::string name, Meaning meaning, std::int64_t min, std::int64_t max,
                  bool required = true) {
-  return {std::move(name), meaning, Type::kDigits, least, most, required};
+  return {std::move(name), meaning, FieldType::kDigits, min, max, required};
 }
-FieldSpec number(std::string name, Meaning meaning, std::int64_t least, std::int64_t most,
+FieldSpec number(std::string name, Meaning meaning, std::int64_t min, std::int64_t max,
                  bool required = true) {
-  return {std::move(name), meaning, Type::kNumber, least, most, required};
+  return {std::move(name), meaning, FieldType::kNumber, min, max, required};
 }
 FieldSpec call(std::string name) {
-  return {std::move(name), Meaning::kCall, Type::kHex, 16, 16, true};
+  return {std::move(name), Meaning::kCall, FieldType::kHex, 16, 16, true};
 }
-FieldSpec patience(std::string name) {
-  return {std::move(name), Meaning::kPatience, Type::kDuration, 1000, kMaxPatience, true};
+FieldSpec remaining_wait(std::string name) {
+  return {std::move(name), Meaning::kRemainingWait, FieldType::kDuration, 1000, kMaxRemainingWait, true};
 }
 FieldSpec cause(std::string name, bool required = true) {
-  return {std::move(name), Meaning::kCause, Type::kNumber, 1, 127, required};
+  return {std::move(name), Meaning::kCause, FieldType::kNumber, 1, 127, required};
 }
 
-void set_fields(Dialect& dialect, Kind kind, std::vector<FieldSpec> fields) {
+void set_fields(Dialect& dialect, MessageKind kind, std::vector<FieldSpec> fields) {
   dialect.fields[static_cast<std::size_t>(kind)] = std::move(fields);
 }
 
-constexpr ErrorMeaning kServerFull{Reason::kCongestion, Ran::kNo, About::kServer};
-constexpr ErrorMeaning kMayHaveRun{Reason::kServerFault, Ran::kMaybe, About::kServer};
+constexpr ErrorClassification kServerFull{Reason::kCongestion, ExecutionState::kNotExecuted,
+                                          ErrorScope::kServer};
+constexpr ErrorClassification kMayHaveRun{Reason::kServerFault, ExecutionState::kMayHaveExecuted,
+                                          ErrorScope::kServer};
 
 // ---- clients --------------------------------------------------------------------------------------------
 
@@ -48,15 +48,17 @@
   Dialect dialect;
   dialect.name = "json-lines";
   dialect.states_retry_after = true;
-  set_fields(dialect, Kind::kSetUp,
-             {call("sid"), token("class", Meaning::kClass, 1, 64), patience("left"),
-              token("tenant", Meaning::kTenant, 1, 64), token("key", Meaning::kNumber, 1, 64),
-              text("text", Meaning::kDescription, 1, kMaxDescription),
-              number("dest", Meaning::kPool, 0, 0xffffffff, false),
-              number("width", Meaning::kWidth, 1, 64, false), number("again", Meaning::kAgain, 0, 1, false)});
-  set_fields(dialect, Kind::kAnswer, {call("sid"), text("text", Meaning::kDescription, 1, kMaxDescription)});
-  set_fields(dialect, Kind::kGiveUp, {call("sid")});
-  set_fields(dialect, Kind::kRelease, {call("sid"), cause("code")});
+  set_fields(
+      dialect, MessageKind::kSetUp,
+      {call("sid"), token("class", Meaning::kClass, 1, 64), remaining_wait("left"),
+       token("tenant", Meaning::kTenant, 1, 64), token("key", Meaning::kNumber, 1, 64),
+       text("text", Meaning::kDescription, 1, kMaxDescription),
+       number("dest", Meaning::kPool, 0, 0xffffffff, false), number("width", Meaning::kWidth, 1, 64, false),
+       number("again", Meaning::kWasAborted, 0, 1, false)});
+  set_fields(dialect, MessageKind::kAnswer,
+             {call("sid"), text("text", Meaning::kDescription, 1, kMaxDescription)});
+  set_fields(dialect, MessageKind::kGiveUp, {call("sid")});
+  set_fields(dialect, MessageKind::kRelease, {call("sid"), cause("code")});
   // A release with cause 34, 42 or 102 rejects the call; every other cause is a failure.
   dialect.reason_codes = {
       {Reason::kNormal, 16},         {Reason::kCongestion, 42},  {Reason::kNoCircuit, 34},
@@ -70,17 +72,17 @@
   dialect.name = "diameter";
   dialect.states_retry_after = true;
   set_fields(
-      dialect, Kind::kSetUp,
+      dialect, MessageKind::kSetUp,
       {call("Session-Id"), token("Service-Context-Id", Meaning::kClass, 1, 64),
        token("Subscription-Id-Data", Meaning::kNumber, 1, 64), token("User-Name", Meaning::kTenant, 1, 64),
        number("Destination-Host", Meaning::kPool, 0, 0xffffffff, false),
        text("Service-Parameter-Value.1", Meaning::kDescription, 1, kMaxDescription),
-       patience("Service-Parameter-Value.2")});
+       remaining_wait("Service-Parameter-Value.2")});
   set_fields(
-      dialect, Kind::kAnswer,
+      dialect, MessageKind::kAnswer,
       {call("Session-Id"), text("Service-Parameter-Value.1", Meaning::kDescription, 1, kMaxDescription)});
-  set_fields(dialect, Kind::kGiveUp, {call("Session-Id")});
-  set_fields(dialect, Kind::kRelease, {call("Session-Id"), cause("Termination-Cause")});
+  set_fields(dialect, MessageKind::kGiveUp, {call("Session-Id")});
+  set_fields(dialect, MessageKind::kRelease, {call("Session-Id"), cause("Termination-Cause")});
   dialect.reason_codes = {{Reason::kCongestion, 3004, "DIAMETER_TOO_BUSY"},
                           {Reason::kServerFault, 5012, "DIAMETER_UNABLE_TO_COMPLY"},
                           {Reason::kFieldRejected, 5004, "DIAMETER_INVALID_AVP_VALUE"},
@@ -97,19 +99,19 @@
   // Fields are named by the numbers of their data elements. A field named `x.of.N` has no data element of its
   // own; the frontend derives it from data element N.
   set_fields(
-      dialect, Kind::kSetUp,
+      dialect, MessageKind::kSetUp,
       {call("call.of.11"), token("class.of.3", Meaning::kClass, 1, 64),
        digits("102", Meaning::kNumber, 1, 28), token("tenant.of.32", Meaning::kTenant, 1, 64),
-       patience("patience.of.3"), text("48", Meaning::kDescription, 1, 999),
+       remaining_wait("patience.of.3"), text("48", Meaning::kDescription, 1, 999),
        token("41", Meaning::kTerminal, 1, 8), digits("32", Meaning::kAcquirer, 1, 11),
        digits("11", Meaning::kTrace, 6, 6), token("37", Meaning::kReference, 12, 12, false),
        number("4", Meaning::kAmount, 0, 999'999'999'999, false),
        digits("49", Meaning::kCurrency, 3, 3, false), digits("7", Meaning::kLocalTime, 10, 10, false)});
-  set_fields(dialect, Kind::kAnswer,
+  set_fields(dialect, MessageKind::kAnswer,
              {call("call.of.11"), text("48", Meaning::kDescription, 1, 999),
-              FieldSpec{"39", Meaning::kNone, Type::kWord, 2, 2, true, 1000, {"00"}}});
-  set_fields(dialect, Kind::kGiveUp, {call("call.of.11"), digits("11", Meaning::kTrace, 6, 6)});
-  set_fields(dialect, Kind::kRelease, {call("call.of.11"), cause("cause.of.24", false)});
+              FieldSpec{"39", Meaning::kNone, FieldType::kWord, 2, 2, true, 1000, {"00"}}});
+  set_fields(dialect, MessageKind::kGiveUp, {call("call.of.11"), digits("11", Meaning::kTrace, 6, 6)});
+  set_fields(dialect, MessageKind::kRelease, {call("call.of.11"), cause("cause.of.24", false)});
   dialect.reason_codes = {{Reason::kNormal, 0, "approved"},
                           {Reason::kCongestion, 91, "issuer or switch inoperative"},
                           {Reason::kTimeout, 68, "response received too late"},
@@ -130,74 +132,78 @@
   Dialect dialect;
   dialect.name = "sip";
   set_fields(
-      dialect, Kind::kSetUp,
+      dialect, MessageKind::kSetUp,
       {call("Call-ID"), token("X-Cos", Meaning::kClass, 1, 64), token("Request-URI", Meaning::kNumber, 1, 64),
-       patience("X-Timer-Ms"), text("body", Meaning::kDescription, 1, kMaxDescription)});
-  set_fields(dialect, Kind::kAnswer,
+       remaining_wait("X-Timer-Ms"), text("body", Meaning::kDescription, 1, kMaxDescription)});
+  set_fields(dialect, MessageKind::kAnswer,
              {call("Call-ID"), text("body", Meaning::kDescription, 1, kMaxDescription)});
-  set_fields(dialect, Kind::kGiveUp, {call("Call-ID")});
-  set_fields(dialect, Kind::kRelease, {call("Call-ID"), cause("Reason")});
-  dialect.errors = {{480, 480, "", {Reason::kServerFault, Ran::kNo, About::kServer}},
-                    {486, 486, "", {Reason::kNumberBusy, Ran::kMaybe, About::kCall}},
-                    {486, 486, "sub", {Reason::kNumberBusy, Ran::kMaybe, About::kCall}},
-                    {503, 503, "", kServerFull},
-                    {503, 503, "atb", {Reason::kNoCircuit, Ran::kNo, About::kServer}},
-                    {503, 503, "acc", kServerFull},
-                    {504, 504, "", {Reason::kAborted, Ran::kMaybe, About::kServer}},
-                    {300, 699, "", kMayHaveRun}};
+  set_fields(dialect, MessageKind::kGiveUp, {call("Call-ID")});
+  set_fields(dialect, MessageKind::kRelease, {call("Call-ID"), cause("Reason")});
+  dialect.errors = {
+      {480, 480, "", {Reason::kServerFault, ExecutionState::kNotExecuted, ErrorScope::kServer}},
+      {486, 486, "", {Reason::kNumberBusy, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {486, 486, "sub", {Reason::kNumberBusy, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {503, 503, "", kServerFull},
+      {503, 503, "atb", {Reason::kNoCircuit, ExecutionState::kNotExecuted, ErrorScope::kServer}},
+      {503, 503, "acc", kServerFull},
+      {504, 504, "", {Reason::kAborted, ExecutionState::kMayHaveExecuted, ErrorScope::kServer}},
+      {300, 699, "", kMayHaveRun}};
   return dialect;
 }
 
 Dialect diameter_server() {
   Dialect dialect;
   dialect.name = "diameter-server";
-  set_fields(dialect, Kind::kSetUp,
+  set_fields(dialect, MessageKind::kSetUp,
              {call("Session-Id"), token("Service-Context-Id", Meaning::kClass, 1, 64),
               token("Subscription-Id-Data", Meaning::kNumber, 1, 64),
               text("Service-Parameter-Value.1", Meaning::kDescription, 1, kMaxDescription),
-              patience("Service-Parameter-Value.2")});
+              remaining_wait("Service-Parameter-Value.2")});
   set_fields(
-      dialect, Kind::kAnswer,
+      dialect, MessageKind::kAnswer,
       {call("Session-Id"), text("Service-Parameter-Value.1", Meaning::kDescription, 1, kMaxDescription)});
-  set_fields(dialect, Kind::kGiveUp, {call("Session-Id")});
-  set_fields(dialect, Kind::kRelease, {call("Session-Id"), cause("Termination-Cause", false)});
-  constexpr ErrorMeaning kNotDelivered{Reason::kServerFault, Ran::kNo, About::kServer};
-  dialect.errors = {{3002, 3002, "", kNotDelivered},
-                    {3004, 3004, "", kServerFull},
-                    {3006, 3006, "", kNotDelivered},
-                    {3010, 3010, "", kNotDelivered},
-                    {4002, 4002, "", kServerFull},
-                    {4010, 4010, "", {Reason::kTenantSuspended, Ran::kMaybe, About::kCall}},
-                    {4011, 4011, "", {Reason::kOverQuota, Ran::kMaybe, About::kCall}},
-                    {4012, 4012, "", {Reason::kOverQuota, Ran::kMaybe, About::kCall}},
-                    {5001, 5001, "", {Reason::kFieldRejected, Ran::kNo, About::kVersion}},
-                    {5003, 5003, "", {Reason::kTenantUnknown, Ran::kMaybe, About::kCall}},
-                    {5004, 5004, "", {Reason::kFieldRejected, Ran::kNo, About::kVersion}},
-                    {5030, 5030, "", {Reason::kNumberUnknown, Ran::kMaybe, About::kCall}},
-                    {5031, 5031, "", {Reason::kFieldRejected, Ran::kMaybe, About::kCall}},
-                    {3000, 5999, "", kMayHaveRun}};
+  set_fields(dialect, MessageKind::kGiveUp, {call("Session-Id")});
+  set_fields(dialect, MessageKind::kRelease, {call("Session-Id"), cause("Termination-Cause", false)});
+  constexpr ErrorClassification kNotDelivered{Reason::kServerFault, ExecutionState::kNotExecuted,
+                                              ErrorScope::kServer};
+  dialect.errors = {
+      {3002, 3002, "", kNotDelivered},
+      {3004, 3004, "", kServerFull},
+      {3006, 3006, "", kNotDelivered},
+      {3010, 3010, "", kNotDelivered},
+      {4002, 4002, "", kServerFull},
+      {4010, 4010, "", {Reason::kTenantSuspended, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {4011, 4011, "", {Reason::kOverQuota, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {4012, 4012, "", {Reason::kOverQuota, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {5001, 5001, "", {Reason::kFieldRejected, ExecutionState::kNotExecuted, ErrorScope::kVersion}},
+      {5003, 5003, "", {Reason::kTenantUnknown, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {5004, 5004, "", {Reason::kFieldRejected, ExecutionState::kNotExecuted, ErrorScope::kVersion}},
+      {5030, 5030, "", {Reason::kNumberUnknown, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {5031, 5031, "", {Reason::kFieldRejected, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {3000, 5999, "", kMayHaveRun}};
   return dialect;
 }
 
 Dialect session_1() {
   Dialect dialect;
   dialect.name = "session-1";
-  set_fields(dialect, Kind::kSetUp,
+  set_fields(dialect, MessageKind::kSetUp,
              {call("id"), token("class", Meaning::kClass, 1, 64), token("number", Meaning::kNumber, 1, 64),
-              text("description", Meaning::kDescription, 1, kMaxDescription), patience("waitMs")});
-  set_fields(dialect, Kind::kAnswer,
+              text("description", Meaning::kDescription, 1, kMaxDescription), remaining_wait("waitMs")});
+  set_fields(dialect, MessageKind::kAnswer,
              {call("id"), text("description", Meaning::kDescription, 1, kMaxDescription)});
-  set_fields(dialect, Kind::kGiveUp, {call("id")});
-  set_fields(dialect, Kind::kRelease, {call("id"), cause("cause")});
-  dialect.errors = {{400, 400, "", {Reason::kFieldRejected, Ran::kNo, About::kVersion}},
-                    {404, 404, "", {Reason::kNumberUnknown, Ran::kNo, About::kCall}},
-                    {409, 409, "", {Reason::kDuplicate, Ran::kMaybe, About::kCall}},
-                    {429, 429, "", kServerFull},
-                    {503, 503, "", kServerFull},
-                    {503, 503, "no-line", {Reason::kNoCircuit, Ran::kNo, About::kServer}},
-                    {504, 504, "", {Reason::kAborted, Ran::kMaybe, About::kServer}},
-                    {505, 505, "", {Reason::kFieldRejected, Ran::kNo, About::kVersion}},
-                    {400, 599, "", kMayHaveRun}};
+  set_fields(dialect, MessageKind::kGiveUp, {call("id")});
+  set_fields(dialect, MessageKind::kRelease, {call("id"), cause("cause")});
+  dialect.errors = {
+      {400, 400, "", {Reason::kFieldRejected, ExecutionState::kNotExecuted, ErrorScope::kVersion}},
+      {404, 404, "", {Reason::kNumberUnknown, ExecutionState::kNotExecuted, ErrorScope::kCall}},
+      {409, 409, "", {Reason::kDuplicate, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {429, 429, "", kServerFull},
+      {503, 503, "", kServerFull},
+      {503, 503, "no-line", {Reason::kNoCircuit, ExecutionState::kNotExecuted, ErrorScope::kServer}},
+      {504, 504, "", {Reason::kAborted, ExecutionState::kMayHaveExecuted, ErrorScope::kServer}},
+      {505, 505, "", {Reason::kFieldRejected, ExecutionState::kNotExecuted, ErrorScope::kVersion}},
+      {400, 599, "", kMayHaveRun}};
   return dialect;
 }
 
@@ -206,33 +212,41 @@
   dialect.name = "session-2";
   dialect.version = 2;
   set_fields(
-      dialect, Kind::kSetUp,
+      dialect, MessageKind::kSetUp,
       {call("id"), token("class", Meaning::kClass, 1, 64), token("number", Meaning::kNumber, 1, 64),
-       text("description", Meaning::kDescription, 1, kMaxDescription), patience("waitMs"),
+       text("description", Meaning::kDescription, 1, kMaxDescription), remaining_wait("waitMs"),
        token("retailer", Meaning::kTenant, 1, 64), token("region", Meaning::kRegion, 1, 32),
        token("terminal", Meaning::kTerminal, 1, 16, false), digits("trace", Meaning::kTrace, 6, 6, false),
        token("reference", Meaning::kReference, 1, 32, false),
        number("amountMinor", Meaning::kAmount, 0, 999'999'999'999, false),
-       digits("currency", Meaning::kCurrency, 3, 3, false), number("again", Meaning::kAgain, 0, 1, false)});
-  set_fields(dialect, Kind::kAnswer,
+       digits("currency", Meaning::kCurrency, 3, 3, false),
+       number("again", Meaning::kWasAborted, 0, 1, false)});
+  set_fields(dialect, MessageKind::kAnswer,
              {call("id"), text("description", Meaning::kDescription, 1, kMaxDescription),
               token("region", Meaning::kRegion, 1, 32)});
-  dialect.errors = {{400, 400, "", {Reason::kFieldRejected, Ran::kNo, About::kVersion}},
-                    {403, 403, "tenant-suspended", {Reason::kTenantSuspended, Ran::kNo, About::kCall}},
-                    {403, 403, "", {Reason::kTenantUnknown, Ran::kNo, About::kCall}},
-                    {404, 404, "", {Reason::kNumberUnknown, Ran::kNo, About::kCall}},
-                    {409, 409, "", {Reason::kDuplicate, Ran::kMaybe, About::kCall}},
-                    {409, 409, "number-busy", {Reason::kNumberBusy, Ran::kNo, About::kCall}},
-                    {421, 421, "region-closed", {Reason::kRegionClosed, Ran::kNo, About::kVersion}},
-                    {421, 421, "", {Reason::kServerFault, Ran::kNo, About::kServer}},
-                    {422, 422, "", {Reason::kFieldRejected, Ran::kNo, About::kVersion}},
-                    {429, 429, "over-share", {Reason::kOverQuota, Ran::kNo, About::kCall}},
-                    {429, 429, "", kServerFull},
-                    {503, 503, "", kServerFull},
-                    {503, 503, "no-line", {Reason::kNoCircuit, Ran::kNo, About::kServer}},
-                    {504, 504, "", {Reason::kAborted, Ran::kMaybe, About::kServer}},
-                    {505, 505, "", {Reason::kFieldRejected, Ran::kNo, About::kVersion}},
-                    {400, 599, "", kMayHaveRun}};
+  dialect.errors = {
+      {400, 400, "", {Reason::kFieldRejected, ExecutionState::kNotExecuted, ErrorScope::kVersion}},
+      {403,
+       403,
+       "tenant-suspended",
+       {Reason::kTenantSuspended, ExecutionState::kNotExecuted, ErrorScope::kCall}},
+      {403, 403, "", {Reason::kTenantUnknown, ExecutionState::kNotExecuted, ErrorScope::kCall}},
+      {404, 404, "", {Reason::kNumberUnknown, ExecutionState::kNotExecuted, ErrorScope::kCall}},
+      {409, 409, "", {Reason::kDuplicate, ExecutionState::kMayHaveExecuted, ErrorScope::kCall}},
+      {409, 409, "number-busy", {Reason::kNumberBusy, ExecutionState::kNotExecuted, ErrorScope::kCall}},
+      {421,
+       421,
+       "region-closed",
+       {Reason::kRegionClosed, ExecutionState::kNotExecuted, ErrorScope::kVersion}},
+      {421, 421, "", {Reason::kServerFault, ExecutionState::kNotExecuted, ErrorScope::kServer}},
+      {422, 422, "", {Reason::kFieldRejected, ExecutionState::kNotExecuted, ErrorScope::kVersion}},
+      {429, 429, "over-share", {Reason::kOverQuota, ExecutionState::kNotExecuted, ErrorScope::kCall}},
+      {429, 429, "", kServerFull},
+      {503, 503, "", kServerFull},
+      {503, 503, "no-line", {Reason::kNoCircuit, ExecutionState::kNotExecuted, ErrorScope::kServer}},
+      {504, 504, "", {Reason::kAborted, ExecutionState::kMayHaveExecuted, ErrorScope::kServer}},
+      {505, 505, "", {Reason::kFieldRejected, ExecutionState::kNotExecuted, ErrorScope::kVersion}},
+      {400, 599, "", kMayHaveRun}};
   return dialect;
 }
 
@@ -257,7 +271,7 @@
 
 }  // namespace
 
-std::string_view name_of(Type type) {
+std::string_view name_of(FieldType type) {
   return kTypeNames[static_cast<std::size_t>(type)];
 }
 
@@ -274,31 +288,32 @@
   return static_cast<std::size_t>(found - fields.begin());
 }
 
-bool holds(const FieldSpec& spec, std::string_view text) {
+bool is_valid_value(const FieldSpec& spec, std::string_view text) {
   const auto size = static_cast<std::int64_t>(text.size());
-  if (spec.type == Type::kWord) {
-    return std::find(spec.words.begin(), spec.words.end(), text) != spec.words.end();
+  if (spec.type == FieldType::kWord) {
+    return std::find(spec.allowed_values.begin(), spec.allowed_values.end(), text) !=
+           spec.allowed_values.end();
   }
-  if (size < spec.least || size > spec.most) return false;
+  if (size < spec.min || size > spec.max) return false;
   switch (spec.type) {
-    case Type::kText:
+    case FieldType::kText:
       return true;
-    case Type::kToken:
+    case FieldType::kToken:
       return std::all_of(text.begin(), text.end(), is_token_char);
-    case Type::kDigits:
+    case FieldType::kDigits:
       return std::all_of(text.begin(), text.end(), is_digit);
-    case Type::kHex:
+    case FieldType::kHex:
       return std::all_of(text.begin(), text.end(), is_hex);
     default:
       return false;
   }
 }
 
-bool holds(const FieldSpec& spec, std::int64_t number) {
-  if (spec.type == Type::kNumber) return number >= spec.least && number <= spec.most;
-  if (spec.type != Type::kDuration) return false;
+bool is_valid_value(const FieldSpec& spec, std::int64_t number) {
+  if (spec.type == FieldType::kNumber) return number >= spec.min && number <= spec.max;
+  if (spec.type != FieldType::kDuration) return false;
   // Dividing the bounds avoids the overflow that multiplying `number` by the unit could cause.
-  return number >= spec.least / spec.unit && number <= spec.most / spec.unit;
+  return number >= spec.min / spec.unit && number <= spec.max / spec.unit;
 }
 
 std::vector<std::string> faults_of(const Dialect& dialect) {
@@ -308,14 +323,14 @@
   };
   for (std::size_t kind = 0; kind < kKinds; ++kind) {
     const auto& fields = dialect.fields[kind];
-    const std::string path(name_of(static_cast<Kind>(kind)));
+    const std::string path(name_of(static_cast<MessageKind>(kind)));
     if (fields.size() > kMaxFields) add_fault(path, "has more fields than a record can hold");
     for (std::size_t i = 0; i < fields.size(); ++i) {
       const auto& field = fields[i];
       const std::string at = path + "." + field.name;
       if (field.name.empty()) add_fault(at, "has no name");
       if (index_of(fields, field.name) != i) add_fault(at, "is defined twice");
-      if (field.type == Type::kWord ? field.words.empty() : field.least > field.most) {
+      if (field.type == FieldType::kWord ? field.allowed_values.empty() : field.min > field.max) {
         add_fault(at, "has an empty range of values");
       }
       if (field.unit <= 0) add_fault(at, "has a unit that is not positive");
@@ -370,7 +385,7 @@
   return nullptr;
 }
 
-ErrorMeaning meaning_of(const Dialect& dialect, std::uint32_t code, std::string_view name) {
+ErrorClassification meaning_of(const Dialect& dialect, std::uint32_t code, std::string_view name) {
   const ErrorSpec* best = nullptr;
   // A named error takes precedence over an unnamed one, a single code over a range.
   const auto rank = [](const ErrorSpec& error) {
@@ -381,17 +396,17 @@
     if (!error.name.empty() && error.name != name) continue;
     if (best == nullptr || rank(error) > rank(*best)) best = &error;
   }
-  return best != nullptr ? best->meaning : ErrorMeaning{};
+  return best != nullptr ? best->meaning : ErrorClassification{};
 }
 
-const ReasonCode& word_for(const Dialect& dialect, Reason reason) {
+const ReasonCode& code_for_reason(const Dialect& dialect, Reason reason) {
   // Reasons form two trees. faults_of() reports a dialect that has no code for one of the two roots.
   static const ReasonCode kNoCode{};
-  for (Reason at = reason;; at = facts_of(at).above) {
+  for (Reason at = reason;; at = info_of(at).fallback) {
     for (const auto& entry : dialect.reason_codes) {
       if (entry.reason == at) return entry;
     }
-    if (facts_of(at).above == at) return kNoCode;
+    if (info_of(at).fallback == at) return kNoCode;
   }
 }
 
--- a/src/translate/dialect.hpp
+++ b/src/translate/dialect.hpp
@@ -14,32 +14,32 @@
 namespace amberknot::translate {
 
 /// The type of a field's value. Textual types are held in a Record as texts, the others as integers.
-enum class Type : std::uint8_t {
-  kText,      ///< any bytes; `least` and `most` bound the length in bytes
+enum class FieldType : std::uint8_t {
+  kText,      ///< any bytes; `min` and `max` bound the length in bytes
   kToken,     ///< printable ASCII without spaces; length in bytes as above
   kDigits,    ///< decimal digits; length in bytes as above
   kHex,       ///< lower-case hex digits; length in bytes as above
-  kWord,      ///< one of `words`
-  kNumber,    ///< an integer from `least` to `most`
-  kDuration,  ///< a count of `unit` microseconds; `least` and `most` are in microseconds
+  kWord,      ///< one of `allowed_values`
+  kNumber,    ///< an integer from `min` to `max`
+  kDuration,  ///< a count of `unit` microseconds; `min` and `max` are in microseconds
 };
 /// The name of a type in messages for operators.
-std::string_view name_of(Type type);
+std::string_view name_of(FieldType type);
 /// Whether values of the type are texts rather than integers.
-inline constexpr bool is_textual(Type type) {
-  return type <= Type::kWord;
+inline constexpr bool is_text(FieldType type) {
+  return type <= FieldType::kWord;
 }
 
 /// Description of one field of a message.
 struct FieldSpec {
   std::string name;  ///< the field's name on the wire
   Meaning meaning = Meaning::kNone;
-  Type type = Type::kText;
-  std::int64_t least = 0;
-  std::int64_t most = 0;
+  FieldType type = FieldType::kText;
+  std::int64_t min = 0;
+  std::int64_t max = 0;
   bool required = false;
-  std::int64_t unit = 1000;             ///< kDuration: length of one unit in microseconds
-  std::vector<std::string> words = {};  ///< kWord: the allowed values
+  std::int64_t unit = 1000;                      ///< kDuration: length of one unit in microseconds
+  std::vector<std::string> allowed_values = {};  ///< kWord: the allowed values
 };
 
 /// An error of a server's dialect, by its range of codes (HTTP or SIP status, Result-Code or response code;
@@ -49,7 +49,7 @@
   std::uint32_t from = 0;
   std::uint32_t to = 0;
   std::string name;  ///< empty: matches any name for which there is no named error
-  ErrorMeaning meaning;
+  ErrorClassification meaning;
 };
 
 /// The code by which a client's dialect reports a reason.
@@ -69,7 +69,7 @@
   bool states_retry_after = false;        ///< a rejection can state when to try again
 
   /// The fields of messages of that kind.
-  [[nodiscard]] const std::vector<FieldSpec>& of(Kind kind) const {
+  [[nodiscard]] const std::vector<FieldSpec>& of(MessageKind kind) const {
     return fields[static_cast<std::size_t>(kind)];
   }
 };
@@ -83,8 +83,8 @@
 std::size_t index_of(const std::vector<FieldSpec>& fields, Meaning meaning);
 
 /// Whether a value is valid for the field. Used for both incoming and outgoing messages.
-bool holds(const FieldSpec& spec, std::string_view text);
-bool holds(const FieldSpec& spec, std::int64_t number);
+bool is_valid_value(const FieldSpec& spec, std::string_view text);
+bool is_valid_value(const FieldSpec& spec, std::int64_t number);
 
 /// Returns the faults in the description of a dialect: duplicate names, empty ranges, overlapping errors,
 /// root reasons without a code. Each text names the field. Returns an empty list if the description is valid.
@@ -98,10 +98,10 @@
 
 /// Returns the meaning of an error answer: that of the named error, otherwise of the single code, otherwise
 /// of the range of codes. An unknown error is a server fault after which the call may have been executed.
-ErrorMeaning meaning_of(const Dialect& dialect, std::uint32_t code, std::string_view name = {});
+ErrorClassification meaning_of(const Dialect& dialect, std::uint32_t code, std::string_view name = {});
 
 /// Returns the code by which this client's dialect reports a reason: its own, or that of the nearest parent
 /// reason that has one.
-const ReasonCode& word_for(const Dialect& dialect, Reason reason);
+const ReasonCode& code_for_reason(const Dialect& dialect, Reason reason);
 
 }  // namespace amberknot::translate
--- a/src/translate/duplicates.cpp
+++ b/src/translate/duplicates.cpp
@@ -27,7 +27,8 @@
     : rules_(rules), wheel_(kWheelSlots, kNone) {
   // The longest lifetime takes just under one turn of the wheel.
   tick_length_ = std::max<Duration>(
-      std::max(rules_.open, rules_.over) / static_cast<std::int64_t>(kWheelSlots - 2), Duration{1});
+      std::max(rules_.open_ttl, rules_.finished_ttl) / static_cast<std::int64_t>(kWheelSlots - 2),
+      Duration{1});
   // Half of the bytes are for the slots, the other half for answers. The number of slots is a power of two,
   // of which at most three quarters are used.
   const std::size_t slots = std::max<std::size_t>(16, std::bit_floor(rules_.max_bytes / 2 / sizeof(Slot)));
@@ -166,7 +167,7 @@
 
 // ---- events ----------------------------------------------------------------------------------------------
 
-DuplicateIndex::RequestResult DuplicateIndex::request(Instant now, const RequestKey& key, CallId call) {
+DuplicateIndex::RequestResult DuplicateIndex::on_request(Instant now, const RequestKey& key, CallId call) {
   advance(now);
   using Status = RequestResult::Status;
   if (const auto at = find(key); at != kNone) {
@@ -177,7 +178,7 @@
         return {Status::kPending, slot.call, {}};
       case RequestState::kAnswered:
         ++counts_.completed_repeats;
-        return {slot.has_answer ? Status::kAnswered : Status::kAnswerNotKept, slot.call, slot.answer};
+        return {slot.has_answer ? Status::kAnswered : Status::kAnswerNotStored, slot.call, slot.answer};
       case RequestState::kReversed:
         ++counts_.completed_repeats;
         return {Status::kReversed, slot.call, {}};
@@ -191,11 +192,11 @@
   ++counts_.new_requests;
   slots_[at].state = RequestState::kOpen;
   slots_[at].call = call;
-  schedule(at, now + rules_.open);
+  schedule(at, now + rules_.open_ttl);
   return {Status::kNew, call, {}};
 }
 
-bool DuplicateIndex::answered(Instant now, const RequestKey& key, std::string_view answer) {
+bool DuplicateIndex::on_answer(Instant now, const RequestKey& key, std::string_view answer) {
   advance(now);
   auto at = find(key);
   if (at == kNone || slots_[at].state != RequestState::kOpen) return false;
@@ -213,7 +214,7 @@
     slot.has_answer = true;
     answer_bytes_ += slot.answer.capacity() > sizeof(std::string) ? slot.answer.capacity() : 0;
   }
-  schedule(at, now + rules_.over);
+  schedule(at, now + rules_.finished_ttl);
   append_completed(at);
   return true;
 }
@@ -238,7 +239,7 @@
     ++counts_.early_reversals;
     slots_[inserted].state = RequestState::kReversed;
     slots_[inserted].call = CallId{};
-    schedule(inserted, now + rules_.over);
+    schedule(inserted, now + rules_.finished_ttl);
     append_completed(inserted);
     return {Status::kBeforeRequest, {}};
   }
@@ -250,7 +251,7 @@
   remove_completed(at);
   slot.state = RequestState::kReversed;
   drop_answer(slot);
-  schedule(at, now + rules_.over);
+  schedule(at, now + rules_.finished_ttl);
   append_completed(at);
   return {was_open ? Status::kGiveUp : Status::kRelease, slot.call};
 }
--- a/src/translate/duplicates.hpp
+++ b/src/translate/duplicates.hpp
@@ -34,10 +34,10 @@
 
 /// Bounds of the index.
 struct DuplicateRules {
-  std::size_t max_bytes = 1 << 20;           ///< size of the index, including the kept answers
-  std::size_t max_answer_bytes = 1024;       ///< longer answers are not kept
-  Duration open = std::chrono::seconds{60};  ///< an open request expires after this time
-  Duration over = std::chrono::minutes{5};   ///< a completed request expires after this time
+  std::size_t max_bytes = 1 << 20;                  ///< size of the index, including the kept answers
+  std::size_t max_answer_bytes = 1024;              ///< longer answers are not kept
+  Duration open_ttl = std::chrono::seconds{60};     ///< an open request expires after this time
+  Duration finished_ttl = std::chrono::minutes{5};  ///< a completed request expires after this time
 };
 
 /// Bounded index of recent requests. Not thread-safe.
@@ -52,7 +52,7 @@
       kPending,   ///< repeat of an open request: it gets the same answer later
       kAnswered,  ///< repeat of an answered request: send `answer` again
       /// Repeat of an answered request whose answer was not kept: fail it, do not set it up again.
-      kAnswerNotKept,
+      kAnswerNotStored,
       kReversed,   ///< already reversed: answer it as reversed and do not set it up
       kIndexFull,  ///< every entry is open: reject the request with a retry time
     };
@@ -61,10 +61,10 @@
     std::string_view answer;  ///< kAnswered; valid until the index changes
   };
   /// Handles a request, first or repeated; `call` identifies it if it is new.
-  RequestResult request(Instant now, const RequestKey& key, CallId call);
+  RequestResult on_request(Instant now, const RequestKey& key, CallId call);
 
   /// Records the answer of an open request. Returns false if the request is not open.
-  bool answered(Instant now, const RequestKey& key, std::string_view answer);
+  bool on_answer(Instant now, const RequestKey& key, std::string_view answer);
   /// Removes an open request that was not set up at any server, so that a repeat counts as new. Returns false
   /// if the request is not open.
   bool remove_open(const RequestKey& key);
--- a/src/translate/eligibility.cpp
+++ b/src/translate/eligibility.cpp
@@ -5,7 +5,7 @@
 namespace amberknot::translate {
 
 Translator::Translator(const std::vector<std::string>& clients, const std::vector<std::string>& servers,
-                       Table operator_table)
+                       MappingTable operator_table)
     : operator_table_(std::move(operator_table)) {
   const auto add_dialects = [this](const std::vector<std::string>& names, std::vector<Dialect>& target,
                                    const char* side) {
@@ -23,7 +23,8 @@
   add_dialects(servers, servers_, "servers");
   if (servers_.size() > kMaxDialects) servers_.resize(kMaxDialects);
   for (std::size_t i = 0; i < servers_.size(); ++i) {
-    if (servers_[i].name.rfind("session-", 0) == 0) translated_dialects_ |= set_of(static_cast<DialectNo>(i));
+    if (servers_[i].name.rfind("session-", 0) == 0)
+      translated_dialects_ |= version_set(static_cast<DialectIndex>(i));
   }
   for (const auto& client : clients_) {
     for (const auto& server : servers_) {
@@ -39,39 +40,40 @@
   faults_ = std::move(once);
 }
 
-std::optional<std::size_t> Translator::client_no(std::string_view name) const {
+std::optional<std::size_t> Translator::client_dialect_index(std::string_view name) const {
   for (std::size_t i = 0; i < clients_.size(); ++i) {
     if (clients_[i].name == name) return i;
   }
   return std::nullopt;
 }
 
-std::optional<DialectNo> Translator::server_no(std::string_view name) const {
+std::optional<DialectIndex> Translator::server_dialect_index(std::string_view name) const {
   for (std::size_t i = 0; i < servers_.size(); ++i) {
-    if (servers_[i].name == name) return static_cast<DialectNo>(i);
+    if (servers_[i].name == name) return static_cast<DialectIndex>(i);
   }
   return std::nullopt;
 }
 
-const Mapping* Translator::mapping(std::size_t client, DialectNo server) const {
+const Mapping* Translator::mapping(std::size_t client, DialectIndex server) const {
   return mappings_[client * servers_.size() + static_cast<std::size_t>(server)].get();
 }
 
 Translator::Eligibility Translator::rule(std::size_t client, const Record& set_up, Record& scratch) const {
   Eligibility eligibility;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
-    const auto dialect_index = static_cast<DialectNo>(i);
+    const auto dialect_index = static_cast<DialectIndex>(i);
     const auto* pair_mapping = mapping(client, dialect_index);
-    eligibility.results[i] = pair_mapping != nullptr ? pair_mapping->set_up.run(set_up, scratch)
+    eligibility.results[i] = pair_mapping != nullptr ? pair_mapping->set_up.translate_record(set_up, scratch)
                                                      : MappingResult{MappingFailure::kSourceMissing, 0};
-    if (!eligibility.results[i]) eligibility.ineligible |= set_of(dialect_index);
+    if (!eligibility.results[i]) eligibility.ineligible |= version_set(dialect_index);
   }
   return eligibility;
 }
 
-DialectSet Translator::rule(const Message& message, Record& scratch) const {
-  if (fault_in(clients_[message.client()].of(Kind::kSetUp), message.record())) return translated_dialects_;
-  return rule(message.client(), message.record(), scratch).ineligible & translated_dialects_;
+DialectSet Translator::ineligible_dialects(const Message& message, Record& scratch) const {
+  if (find_invalid_field(clients_[message.client_dialect()].of(MessageKind::kSetUp), message.record()))
+    return translated_dialects_;
+  return rule(message.client_dialect(), message.record(), scratch).ineligible & translated_dialects_;
 }
 
 }  // namespace amberknot::translate
--- a/src/translate/mapping.cpp
+++ b/src/translate/mapping.cpp
@@ -6,14 +6,14 @@
 
 namespace amberknot::translate {
 
-std::optional<std::size_t> fault_in(const std::vector<FieldSpec>& fields, const Record& record) {
+std::optional<std::size_t> find_invalid_field(const std::vector<FieldSpec>& fields, const Record& record) {
   for (std::size_t i = 0; i < fields.size(); ++i) {
     if (!record.has(i)) {
       if (fields[i].required) return i;
       continue;
     }
-    const bool is_valid =
-        is_textual(fields[i].type) ? holds(fields[i], record.text(i)) : holds(fields[i], record.number(i));
+    const bool is_valid = is_text(fields[i].type) ? is_valid_value(fields[i], record.text(i))
+                                                  : is_valid_value(fields[i], record.number(i));
     if (!is_valid) return i;
   }
   return std::nullopt;
@@ -71,9 +71,9 @@
       return true;
     }
     case Op::kPrint: {
-      char* at = to.allocate_text(kMaxDerived);
+      char* at = to.allocate_text(kMaxDerivedBytes);
       if (at == nullptr) return false;
-      const auto [end, error] = std::to_chars(at, at + kMaxDerived, from.number(step.from));
+      const auto [end, error] = std::to_chars(at, at + kMaxDerivedBytes, from.number(step.from));
       const std::string_view text(at, static_cast<std::size_t>(end - at));
       if (error != std::errc{} || !fits(step, text)) return false;
       to.set(step.to, text);
@@ -89,7 +89,7 @@
       const auto* found = lookup_tables_[step.operand].find(from.text(step.from));
       if (found == nullptr) return false;
       // The values of the table were checked against the target field at compilation.
-      if (is_textual(to_[step.to].type)) {
+      if (is_text(to_[step.to].type)) {
         to.set(step.to, std::string_view(found->text));
       } else {
         to.set(step.to, found->number);
@@ -97,11 +97,11 @@
       return true;
     }
     case Op::kRule: {
-      char* at = to.allocate_text(kMaxDerived);
+      char* at = to.allocate_text(kMaxDerivedBytes);
       std::size_t size = 0;
       if (at == nullptr || !rules_[step.operand](from.text(step.from), to_[step.to], at, size)) return false;
       const std::string_view text(at, size);
-      if (!holds(to_[step.to], text)) return false;
+      if (!is_valid_value(to_[step.to], text)) return false;
       to.set(step.to, text);
       return true;
     }
@@ -109,7 +109,7 @@
   return false;
 }
 
-MappingResult Program::run(const Record& from, Record& to) const {
+MappingResult Program::translate_record(const Record& from, Record& to) const {
   to.clear();
   for (const auto& step : steps_) {
     const bool source_present = step.source_always_present || from.has(step.from);
@@ -142,7 +142,7 @@
 /// Compiles the program for one kind of message between two dialects.
 class Compiler {
  public:
-  Compiler(const Dialect& from, const Dialect& to, Kind kind, const Table& operator_table,
+  Compiler(const Dialect& from, const Dialect& to, MessageKind kind, const MappingTable& operator_table,
            std::vector<std::string>& faults)
       : from_(from),
         to_(to),
@@ -183,7 +183,7 @@
   }
 
   /// Returns how many of this pair's dialects the row names, or nullopt if the row does not apply to it.
-  [[nodiscard]] std::optional<int> specificity(const Row& row) const {
+  [[nodiscard]] std::optional<int> specificity(const MappingRow& row) const {
     if (row.kind != kind_) return std::nullopt;
     if (row.from != "*" && row.from != from_.name) return std::nullopt;
     if (row.to != "*" && row.to != to_.name) return std::nullopt;
@@ -193,14 +193,15 @@
   /// Returns the row for a target field, or null if there is none. Rows of the operator take precedence over
   /// built-in ones, then rows that name more dialects. Sets `is_ambiguous` if two rows have the same
   /// precedence.
-  const Row* select_row(std::size_t target, bool& is_ambiguous) {
-    const Row* best = nullptr;
+  const MappingRow* select_row(std::size_t target, bool& is_ambiguous) {
+    const MappingRow* best = nullptr;
     int best_rank = -1;
     is_ambiguous = false;
-    const auto search = [&](const Table& table, int base_rank) {
+    const auto search = [&](const MappingTable& table, int base_rank) {
       for (const auto& row : table.rows) {
         const auto row_rank = specificity(row);
-        if (!row_rank || row.field.empty() || resolve(program_.to_, row.field) != target) continue;
+        if (!row_rank || row.target_field.empty() || resolve(program_.to_, row.target_field) != target)
+          continue;
         if (base_rank + *row_rank == best_rank) is_ambiguous = true;
         if (base_rank + *row_rank <= best_rank) continue;
         best = &row;
@@ -208,7 +209,7 @@
         is_ambiguous = false;
       }
     };
-    search(own_table(), 0);
+    search(builtin_table(), 0);
     search(operator_table_, 10);
     return best;
   }
@@ -216,7 +217,7 @@
   void compile_field(std::size_t target) {
     const auto& spec = program_.to_[target];
     bool is_ambiguous = false;
-    const Row* row = select_row(target, is_ambiguous);
+    const MappingRow* row = select_row(target, is_ambiguous);
     if (is_ambiguous) return add_fault(spec.name, "two rows define its source");
     Step step;
     step.to = static_cast<std::uint8_t>(target);
@@ -230,36 +231,37 @@
       }
       if (!compile_copy(step, spec, source, description)) return;
     } else if (const auto* from = std::get_if<Copy>(&*row->source)) {
-      const auto source = resolve(sources(), from->of);
+      const auto source = resolve(sources(), from->source_field);
       // A row that applies to several dialects may name a field that this one lacks.
-      if (source == sources().size()) return compile_without_source(step, spec, *row, from->of);
+      if (source == sources().size()) return compile_without_source(step, spec, *row, from->source_field);
       if (!compile_copy(step, spec, source, description)) return;
     } else if (const auto* constant = std::get_if<Constant>(&*row->source)) {
       if (!compile_constant(step, spec, constant->value)) return;
       description = "the constant \"" + constant->value + "\"";
     } else if (const auto* derived = std::get_if<Derived>(&*row->source)) {
-      const auto source = resolve(sources(), derived->of);
-      if (source == sources().size()) return compile_without_source(step, spec, *row, derived->of);
+      const auto source = resolve(sources(), derived->source_field);
+      if (source == sources().size()) return compile_without_source(step, spec, *row, derived->source_field);
       if (!compile_rule(step, spec, source, *derived, description)) return;
     } else {
       const auto& lookup = std::get<Lookup>(*row->source);
-      const auto source = resolve(sources(), lookup.by);
-      if (source == sources().size()) return compile_without_source(step, spec, *row, lookup.by);
+      const auto source = resolve(sources(), lookup.key_field);
+      if (source == sources().size()) return compile_without_source(step, spec, *row, lookup.key_field);
       if (!compile_lookup(step, spec, source, lookup, description)) return;
     }
     add_step(step, spec, row, std::move(description));
   }
 
   /// Compiles a row whose source field does not exist in this dialect, so that its fallback always applies.
-  void compile_without_source(Step& step, const FieldSpec& spec, const Row& row, const FieldName& name) {
-    if (row.otherwise && std::holds_alternative<Constant>(*row.otherwise)) {
-      if (!compile_constant(step, spec, std::get<Constant>(*row.otherwise).value)) return;
+  void compile_without_source(Step& step, const FieldSpec& spec, const MappingRow& row,
+                              const FieldName& name) {
+    if (row.fallback && std::holds_alternative<Constant>(*row.fallback)) {
+      if (!compile_constant(step, spec, std::get<Constant>(*row.fallback).value)) return;
       step.needs_check = false;
       step.source_always_present = true;
       program_.steps_.push_back(step);
-      add_note(spec.name, "the constant \"" + std::get<Constant>(*row.otherwise).value +
-                              "\", since there is no " + name);
-    } else if (row.otherwise && std::holds_alternative<NotEligible>(*row.otherwise) && spec.required) {
+      add_note(spec.name,
+               "the constant \"" + std::get<Constant>(*row.fallback).value + "\", since there is no " + name);
+    } else if (row.fallback && std::holds_alternative<NotEligible>(*row.fallback) && spec.required) {
       add_fault(spec.name,
                 "has no source, since " + from_.name + " has no " + name + ": no message would be eligible");
     } else if (spec.required) {
@@ -273,8 +275,8 @@
     is_carried_[source] = true;
     step.source_always_present = from.required;
     description = "copied from " + from.name;
-    const bool duration = from.type == Type::kDuration && to.type == Type::kDuration;
-    if (is_textual(from.type) && is_textual(to.type)) {
+    const bool duration = from.type == FieldType::kDuration && to.type == FieldType::kDuration;
+    if (is_text(from.type) && is_text(to.type)) {
       step.op = Op::kText;
       step.needs_check = !is_text_subset(from, to);
     } else if (duration && from.unit != to.unit) {
@@ -285,14 +287,14 @@
       description += ", " + std::to_string(from.unit) + " µs to " + std::to_string(to.unit) + " µs";
     } else if (from.type == to.type) {
       step.op = Op::kNumber;
-      step.needs_check = from.least < to.least || from.most > to.most;
-    } else if (from.type == Type::kDigits && to.type == Type::kNumber) {
+      step.needs_check = from.min < to.min || from.max > to.max;
+    } else if (from.type == FieldType::kDigits && to.type == FieldType::kNumber) {
       step.op = Op::kParse;
       // Up to 18 digits fit in 64 bits; their number limits the value.
-      std::int64_t most = 1;
-      for (std::int64_t i = 0; i < std::min<std::int64_t>(from.most, 18); ++i) most *= 10;
-      step.needs_check = from.most > 18 || to.least > 0 || most - 1 > to.most;
-    } else if (from.type == Type::kNumber && is_textual(to.type)) {
+      std::int64_t power_of_ten = 1;
+      for (std::int64_t i = 0; i < std::min<std::int64_t>(from.max, 18); ++i) power_of_ten *= 10;
+      step.needs_check = from.max > 18 || to.min > 0 || power_of_ten - 1 > to.max;
+    } else if (from.type == FieldType::kNumber && is_text(to.type)) {
       step.op = Op::kPrint;
     } else {
       add_fault(to.name, "is a " + std::string(name_of(to.type)) + " field, and " + from.name + " is a " +
@@ -304,13 +306,13 @@
 
   /// Whether every valid value of `from` is valid for `to`.
   static bool is_text_subset(const FieldSpec& from, const FieldSpec& to) {
-    if (from.type == Type::kWord) {
-      return std::all_of(from.words.begin(), from.words.end(),
-                         [&to](const auto& word) { return holds(to, word); });
+    if (from.type == FieldType::kWord) {
+      return std::all_of(from.allowed_values.begin(), from.allowed_values.end(),
+                         [&to](const auto& word) { return is_valid_value(to, word); });
     }
-    if (to.type == Type::kWord || from.least < to.least || from.most > to.most) return false;
-    const auto alphabet_rank = [](Type type) {
-      return type == Type::kText ? 3 : type == Type::kToken ? 2 : type == Type::kHex ? 1 : 0;
+    if (to.type == FieldType::kWord || from.min < to.min || from.max > to.max) return false;
+    const auto alphabet_rank = [](FieldType type) {
+      return type == FieldType::kText ? 3 : type == FieldType::kToken ? 2 : type == FieldType::kHex ? 1 : 0;
     };
     return alphabet_rank(from.type) <= alphabet_rank(to.type);
   }
@@ -321,7 +323,7 @@
       add_fault(spec.name, "cannot hold the constant \"" + value + "\"");
       return false;
     }
-    step.op = is_textual(spec.type) ? Op::kConstText : Op::kConstNumber;
+    step.op = is_text(spec.type) ? Op::kConstText : Op::kConstNumber;
     step.operand = static_cast<std::uint16_t>(program_.constants_.size());
     step.source_always_present = true;
     step.needs_check = false;
@@ -330,12 +332,13 @@
   }
 
   static std::optional<Program::Value> value_of(const FieldSpec& spec, const std::string& text) {
-    if (is_textual(spec.type)) {
-      return holds(spec, text) ? std::optional(Program::Value{text, 0}) : std::nullopt;
+    if (is_text(spec.type)) {
+      return is_valid_value(spec, text) ? std::optional(Program::Value{text, 0}) : std::nullopt;
     }
     std::int64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (error != std::errc{} || end != text.data() + text.size() || !holds(spec, number)) return std::nullopt;
+    if (error != std::errc{} || end != text.data() + text.size() || !is_valid_value(spec, number))
+      return std::nullopt;
     return Program::Value{text, number};
   }
 
@@ -344,14 +347,14 @@
     const auto& from = sources()[source];
     const auto* found = find_rule(derived.rule);
     if (found == nullptr) return add_fault(to.name, "\"" + derived.rule + "\" is not a known rule"), false;
-    if (!is_textual(from.type) || !is_textual(to.type)) {
+    if (!is_text(from.type) || !is_text(to.type)) {
       return add_fault(to.name, "a rule needs a text field as source and as target"), false;
     }
     step.op = Op::kRule;
     step.from = static_cast<std::uint8_t>(source);
     step.source_always_present = from.required;
     step.operand = static_cast<std::uint16_t>(program_.rules_.size());
-    program_.rules_.push_back(found->make);
+    program_.rules_.push_back(found->derive);
     is_carried_[source] = true;
     description =
         "by the rule " + derived.rule + " from " + from.name + ": " + std::string(found->description);
@@ -361,13 +364,13 @@
   bool compile_lookup(Step& step, const FieldSpec& to, std::size_t source, const Lookup& lookup,
                       std::string& description) {
     const auto& from = sources()[source];
-    if (!is_textual(from.type))
+    if (!is_text(from.type))
       return add_fault(to.name, from.name + " is not a text field, so it cannot be looked up"), false;
     Program::LookupTable compiled;
-    for (const auto& [key, value] : lookup.table) {
+    for (const auto& [key, value] : lookup.values) {
       const auto parsed = value_of(to, value);
       if (!parsed) return add_fault(to.name, "cannot hold \"" + value + "\", the value for " + key), false;
-      if (!holds(from, key))
+      if (!is_valid_value(from, key))
         return add_fault(to.name, from.name + " cannot have the value \"" + key + "\""), false;
       compiled.rows.emplace_back(key, *parsed);
     }
@@ -375,27 +378,27 @@
     step.from = static_cast<std::uint8_t>(source);
     step.source_always_present = from.required;
     // A table with a row for every word of its source always has a match.
-    step.needs_check = from.type != Type::kWord || compiled.rows.size() != from.words.size();
+    step.needs_check = from.type != FieldType::kWord || compiled.rows.size() != from.allowed_values.size();
     step.operand = static_cast<std::uint16_t>(program_.lookup_tables_.size());
     program_.lookup_tables_.push_back(std::move(compiled));
     lookup_sources_.push_back(source);
-    description = "looked up by " + from.name + ", " + std::to_string(lookup.table.size()) + " values";
+    description = "looked up by " + from.name + ", " + std::to_string(lookup.values.size()) + " values";
     return true;
   }
 
   /// Adds a step after checking that its fallback covers every case in which the source gives no valid value.
-  void add_step(Step step, const FieldSpec& spec, const Row* row, std::string description) {
+  void add_step(Step step, const FieldSpec& spec, const MappingRow* row, std::string description) {
     const bool value_may_be_invalid = step.needs_check || step.op == Op::kRule;
     const bool source_may_be_missing = !step.source_always_present && spec.required;
-    if (row != nullptr && row->otherwise) {
-      if (std::holds_alternative<LeaveOut>(*row->otherwise)) {
+    if (row != nullptr && row->fallback) {
+      if (std::holds_alternative<LeaveOut>(*row->fallback)) {
         if (spec.required) return add_fault(spec.name, "is required and cannot be left out");
         step.otherwise = Fallback::kLeaveOut;
         description += "; otherwise left out";
-      } else if (const auto* constant = std::get_if<Constant>(&*row->otherwise)) {
+      } else if (const auto* constant = std::get_if<Constant>(&*row->fallback)) {
         const auto parsed = value_of(spec, constant->value);
         if (!parsed) return add_fault(spec.name, "cannot hold the constant \"" + constant->value + "\"");
-        step.otherwise = is_textual(spec.type) ? Fallback::kText : Fallback::kNumber;
+        step.otherwise = is_text(spec.type) ? Fallback::kText : Fallback::kNumber;
         step.fallback_constant = static_cast<std::uint16_t>(program_.constants_.size());
         program_.constants_.push_back(*parsed);
         description += "; otherwise \"" + constant->value + "\"";
@@ -420,8 +423,8 @@
   void check_losses() {
     for (std::size_t i = 0; i < sources().size(); ++i) {
       if (is_carried_[i]) continue;
-      const Row* declared = nullptr;
-      for (const auto* table : {&operator_table_, &own_table()}) {
+      const MappingRow* declared = nullptr;
+      for (const auto* table : {&operator_table_, &builtin_table()}) {
         for (const auto& row : table->rows) {
           if (declared != nullptr || !specificity(row) || row.lost_field.empty() ||
               resolve(sources(), row.lost_field) != i)
@@ -429,7 +432,8 @@
           declared = &row;
         }
       }
-      const bool has_one_value = sources()[i].type == Type::kWord && sources()[i].words.size() == 1;
+      const bool has_one_value =
+          sources()[i].type == FieldType::kWord && sources()[i].allowed_values.size() == 1;
       if (declared != nullptr) {
         program_.notes_.push_back(
             {sources()[i].name,
@@ -445,21 +449,21 @@
 
   const Dialect& from_;
   const Dialect& to_;
-  Kind kind_;
-  const Table& operator_table_;
+  MessageKind kind_;
+  const MappingTable& operator_table_;
   std::vector<std::string>& faults_;
   std::vector<bool> is_carried_;
   std::vector<std::size_t> lookup_sources_;
   Program program_;
 };
 
-std::optional<Program> compile(const Dialect& from, const Dialect& to, Kind kind, const Table& operator_table,
-                               std::vector<std::string>& faults) {
+std::optional<Program> compile(const Dialect& from, const Dialect& to, MessageKind kind,
+                               const MappingTable& operator_table, std::vector<std::string>& faults) {
   return Compiler(from, to, kind, operator_table, faults).compile();
 }
 
-std::optional<Mapping> compile(const Dialect& client, const Dialect& server, const Table& operator_table,
-                               std::vector<std::string>& faults) {
+std::optional<Mapping> compile(const Dialect& client, const Dialect& server,
+                               const MappingTable& operator_table, std::vector<std::string>& faults) {
   const auto previous_faults = faults.size();
   for (const auto* dialect : {&client, &server}) {
     for (auto& fault : faults_of(*dialect)) faults.push_back(std::move(fault));
@@ -467,11 +471,11 @@
   if (client.reason_codes.empty()) faults.push_back(client.name + ": has no codes for how a call ends");
   if (server.errors.empty())
     faults.push_back(server.name + ": has no errors, but a server dialect needs some");
-  auto set_up = compile(client, server, Kind::kSetUp, operator_table, faults);
-  auto give_up = compile(client, server, Kind::kGiveUp, operator_table, faults);
-  auto release_to_server = compile(client, server, Kind::kRelease, operator_table, faults);
-  auto answer = compile(server, client, Kind::kAnswer, operator_table, faults);
-  auto release_to_client = compile(server, client, Kind::kRelease, operator_table, faults);
+  auto set_up = compile(client, server, MessageKind::kSetUp, operator_table, faults);
+  auto give_up = compile(client, server, MessageKind::kGiveUp, operator_table, faults);
+  auto release_to_server = compile(client, server, MessageKind::kRelease, operator_table, faults);
+  auto answer = compile(server, client, MessageKind::kAnswer, operator_table, faults);
+  auto release_to_client = compile(server, client, MessageKind::kRelease, operator_table, faults);
   if (faults.size() > previous_faults) return std::nullopt;
   return Mapping{&client,
                  &server,
