--- a/src/translate/mapping.hpp
+++ b/src/translate/mapping.hpp
@@ -58,12 +58,12 @@
   std::size_t used_ = 0;
   std::array<std::string_view, kMaxFields> texts_{};
   std::array<std::int64_t, kMaxFields> numbers_{};
-  std::array<char, kMaxFields * kMaxDerived> own_{};
+  std::array<char, kMaxFields * kMaxDerivedBytes> own_{};
 };
 
 /// Returns the index of the first field that is required but missing, or has an invalid value. Returns
 /// nullopt if the record is valid.
-std::optional<std::size_t> fault_in(const std::vector<FieldSpec>& fields, const Record& record);
+std::optional<std::size_t> find_invalid_field(const std::vector<FieldSpec>& fields, const Record& record);
 
 /// Why a message cannot be translated to the other dialect.
 enum class MappingFailure : std::uint8_t { kNone, kSourceMissing, kValueInvalid, kNotInTable };
@@ -81,9 +81,9 @@
 /// The compiled translation of one kind of message from one dialect to another. Immutable once compiled.
 class Program {
  public:
-  /// Translates `from`, which must be valid by fault_in(), to `to`, which is cleared first. The texts of `to`
-  /// may be views into the same data as those of `from`, and into the program.
-  MappingResult run(const Record& from, Record& to) const;
+  /// Translates `from`, which must be valid by find_invalid_field(), to `to`, which is cleared first. The
+  /// texts of `to` may be views into the same data as those of `from`, and into the program.
+  MappingResult translate_record(const Record& from, Record& to) const;
 
   /// The fields of the target message.
   [[nodiscard]] const std::vector<FieldSpec>& to_fields() const { return to_; }
@@ -142,10 +142,10 @@
   /// Sets the step's target field. Returns false if the source value is invalid for it.
   bool apply(const Step& step, const Record& from, Record& to) const;
   bool fits(const Step& step, std::string_view text) const {
-    return !step.needs_check || holds(to_[step.to], text);
+    return !step.needs_check || is_valid_value(to_[step.to], text);
   }
   bool fits(const Step& step, std::int64_t number) const {
-    return !step.needs_check || holds(to_[step.to], number);
+    return !step.needs_check || is_valid_value(to_[step.to], number);
   }
 
   std::vector<Step> steps_;
@@ -158,8 +158,8 @@
 
 /// Compiles the program for one kind of message. Appends every fault to `faults` with the name of its field,
 /// as "json-lines → session-2, set-up: region: …". Returns nullopt if there is any.
-std::optional<Program> compile(const Dialect& from, const Dialect& to, Kind kind, const Table& operator_table,
-                               std::vector<std::string>& faults);
+std::optional<Program> compile(const Dialect& from, const Dialect& to, MessageKind kind,
+                               const MappingTable& operator_table, std::vector<std::string>& faults);
 
 /// All programs between a client's dialect and a server's dialect.
 struct Mapping {
@@ -169,7 +169,7 @@
   Program answer, release_to_client;           ///< from server to client
 };
 /// Compiles all programs for a pair of dialects, with faults as above.
-std::optional<Mapping> compile(const Dialect& client, const Dialect& server, const Table& operator_table,
-                               std::vector<std::string>& faults);
+std::optional<Mapping> compile(const Dialect& client, const Dialect& server,
+                               const MappingTable& operator_table, std::vector<std::string>& faults);
 
 }  // namespace amberknot::translate
--- a/src/translate/message.hpp
+++ b/src/translate/message.hpp
@@ -23,7 +23,7 @@
   void set(Meaning meaning, std::int64_t number);
 
   /// Index of the client's dialect in the router's Translator.
-  [[nodiscard]] std::size_t client() const { return client_; }
+  [[nodiscard]] std::size_t client_dialect() const { return client_; }
   [[nodiscard]] const Record& record() const { return record_; }
   /// Approximate bytes of memory in use.
   [[nodiscard]] std::size_t bytes() const { return sizeof(*this) + text_bytes_; }
--- a/src/translate/table.cpp
+++ b/src/translate/table.cpp
@@ -8,47 +8,49 @@
 namespace amberknot::translate {
 namespace {
 
-using settings::member;
-using settings::number_of;
-using settings::text_of;
+using settings::find_member;
+using settings::parse_number;
+using settings::string_value;
 
 /// Returns a row that declares the loss of a field.
-Row loss_row(std::string from, std::string to, Kind kind, FieldName field, std::string reason) {
-  Row row{std::move(from), std::move(to), kind, {}, std::nullopt};
+MappingRow loss_row(std::string from, std::string to, MessageKind kind, FieldName field, std::string reason) {
+  MappingRow row{std::move(from), std::move(to), kind, {}, std::nullopt};
   row.lost_field = std::move(field);
   row.loss_reason = std::move(reason);
   return row;
 }
 
-Table make_builtin_table() {
-  Table table;
+MappingTable make_builtin_table() {
+  MappingTable table;
   // Fields that only the router uses; they are not sent to servers.
   for (const char* field : {"@pool", "@width", "@again"}) {
-    table.rows.push_back(loss_row("*", "*", Kind::kSetUp, field, "used by the router only"));
+    table.rows.push_back(loss_row("*", "*", MessageKind::kSetUp, field, "used by the router only"));
   }
   for (const char* to : {"sip", "diameter-server", "session-1"}) {
     for (const char* field : {"@tenant", "@terminal", "@acquirer", "@trace", "@reference", "@amount",
                               "@currency", "@local-time"}) {
-      table.rows.push_back(loss_row("*", to, Kind::kSetUp, field, "that protocol has no field for it"));
+      table.rows.push_back(
+          loss_row("*", to, MessageKind::kSetUp, field, "that protocol has no field for it"));
     }
   }
   for (const char* field : {"@acquirer", "@local-time"}) {
     table.rows.push_back(
-        loss_row("*", "session-2", Kind::kSetUp, field, "that protocol has no field for it"));
+        loss_row("*", "session-2", MessageKind::kSetUp, field, "that protocol has no field for it"));
   }
   for (const char* to : {"*"}) {
     table.rows.push_back(
-        loss_row("*", to, Kind::kGiveUp, "@trace", "a set-up is given up by its identifier alone"));
+        loss_row("*", to, MessageKind::kGiveUp, "@trace", "a set-up is given up by its identifier alone"));
+    table.rows.push_back(loss_row("session-2", to, MessageKind::kAnswer, "@region",
+                                  "the protocols of clients have no field for it"));
     table.rows.push_back(
-        loss_row("session-2", to, Kind::kAnswer, "@region", "the protocols of clients have no field for it"));
-    table.rows.push_back(loss_row("*", to, Kind::kRelease, "@cause", "that protocol has no field for it"));
+        loss_row("*", to, MessageKind::kRelease, "@cause", "that protocol has no field for it"));
   }
   // In ISO 8583 a description has at most 999 bytes, and an approved answer has the response code 00.
-  Row answer{"*", "iso8583", Kind::kAnswer, "48", Copy{"@description"}, NotEligible{}};
+  MappingRow answer{"*", "iso8583", MessageKind::kAnswer, "48", Copy{"@description"}, NotEligible{}};
   table.rows.push_back(std::move(answer));
-  table.rows.push_back({"*", "iso8583", Kind::kAnswer, "39", Constant{"00"}});
+  table.rows.push_back({"*", "iso8583", MessageKind::kAnswer, "39", Constant{"00"}});
   // A release without a cause gets Q.850 cause 16, normal call clearing.
-  table.rows.push_back({"*", "*", Kind::kRelease, "@cause", Copy{"@cause"}, Constant{"16"}});
+  table.rows.push_back({"*", "*", MessageKind::kRelease, "@cause", Copy{"@cause"}, Constant{"16"}});
   return table;
 }
 
@@ -56,7 +58,7 @@
 
 /// Copies a text to the output of a rule. Returns false if it is too long.
 bool write_text(std::string_view text, char* out, std::size_t& size) {
-  if (text.size() > kMaxDerived) return false;
+  if (text.size() > kMaxDerivedBytes) return false;
   std::copy(text.begin(), text.end(), out);
   size = text.size();
   return true;
@@ -65,7 +67,7 @@
 /// Applies a function to each character. Returns false if the text is too long.
 template <typename Transform>
 bool transform_text(std::string_view in, char* out, std::size_t& size, Transform transform) {
-  if (in.size() > kMaxDerived) return false;
+  if (in.size() > kMaxDerivedBytes) return false;
   std::transform(in.begin(), in.end(), out, transform);
   size = in.size();
   return true;
@@ -83,7 +85,7 @@
   size = 0;
   for (const char c : in) {
     if (c < '0' || c > '9') continue;
-    if (size == kMaxDerived) return false;
+    if (size == kMaxDerivedBytes) return false;
     out[size++] = c;
   }
   return size > 0;
@@ -94,9 +96,9 @@
                     out, size);
 }
 bool pad_zeros(std::string_view in, const FieldSpec& target, char* out, std::size_t& size) {
-  const auto min_length = static_cast<std::size_t>(std::max<std::int64_t>(target.least, 0));
+  const auto min_length = static_cast<std::size_t>(std::max<std::int64_t>(target.min, 0));
   const std::size_t zeros = in.size() < min_length ? min_length - in.size() : 0;
-  if (zeros + in.size() > kMaxDerived) return false;
+  if (zeros + in.size() > kMaxDerivedBytes) return false;
   std::fill(out, out + zeros, '0');
   std::copy(in.begin(), in.end(), out + zeros);
   size = zeros + in.size();
@@ -124,7 +126,7 @@
 /// Reads an operator's table and collects its faults.
 class TableReader {
  public:
-  TableReader(Table& to, std::vector<std::string>& faults) : table_(to), faults_(faults) {}
+  TableReader(MappingTable& to, std::vector<std::string>& faults) : table_(to), faults_(faults) {}
 
   void read(const rapidjson::Value& value) {
     if (!value.IsObject()) return add_fault("translate", "is not an object");
@@ -148,7 +150,7 @@
 
   /// Returns the array of that name, or null if it is absent or not an array.
   const rapidjson::Value* find_array(const rapidjson::Value& value, const char* name) {
-    const auto* found = member(value, name);
+    const auto* found = find_member(value, name);
     if (found == nullptr) return nullptr;
     if (found->IsArray()) return found;
     add_fault(std::string("translate.") + name, "is not an array");
@@ -164,8 +166,8 @@
     }
     bool is_valid = true;
     for (const auto& item : value.GetObject()) {
-      if (std::find(fields.begin(), fields.end(), text_of(item.name)) != fields.end()) continue;
-      add_fault(path + "." + std::string(text_of(item.name)), "is not a known field");
+      if (std::find(fields.begin(), fields.end(), string_value(item.name)) != fields.end()) continue;
+      add_fault(path + "." + std::string(string_value(item.name)), "is not a known field");
       is_valid = false;
     }
     return is_valid;
@@ -175,14 +177,15 @@
   /// default the field is required.
   std::string read_string(const rapidjson::Value& value, const std::string& path, const char* name,
                           std::optional<std::string> default_value = std::nullopt) {
-    const auto* found = member(value, name);
+    const auto* found = find_member(value, name);
     if (found == nullptr && default_value) return *default_value;
     if (found == nullptr) {
       add_fault(path + "." + name, "is missing");
       return {};
     }
-    if (text_of(*found).empty()) add_fault(path + "." + name, "is empty, or neither a string nor a number");
-    return std::string(text_of(*found));
+    if (string_value(*found).empty())
+      add_fault(path + "." + name, "is empty, or neither a string nor a number");
+    return std::string(string_value(*found));
   }
 
   /// Reports a fault if `name` is neither a dialect nor `*`.
@@ -199,57 +202,57 @@
                        "otherwise", "lost", "why"})) {
       return;
     }
-    Row row;
+    MappingRow row;
     row.from = read_string(value, path, "from", "*");
     row.to = read_string(value, path, "to", "*");
     check_dialect(row.from, path + ".from");
     check_dialect(row.to, path + ".to");
     const auto kind = kind_of(read_string(value, path, "kind", "set-up"));
     if (!kind) add_fault(path + ".kind", "is not one of set-up, answer, give-up, release");
-    row.kind = kind.value_or(Kind::kSetUp);
+    row.kind = kind.value_or(MessageKind::kSetUp);
     row.loss_reason = read_string(value, path, "why", "");
-    if (member(value, "lost") != nullptr) {
+    if (find_member(value, "lost") != nullptr) {
       row.lost_field = read_string(value, path, "lost");
       for (const char* name : {"field", "copy", "constant", "rule", "by", "otherwise"}) {
-        if (member(value, name) != nullptr) add_fault(path + "." + name, "cannot be combined with lost");
+        if (find_member(value, name) != nullptr) add_fault(path + "." + name, "cannot be combined with lost");
       }
     } else {
-      row.field = read_string(value, path, "field");
+      row.target_field = read_string(value, path, "field");
       read_source(value, path, row);
       read_otherwise(value, path, row);
     }
     if (faults_.size() == previous_faults) table_.rows.push_back(std::move(row));
   }
 
-  void read_source(const rapidjson::Value& value, const std::string& path, Row& row) {
+  void read_source(const rapidjson::Value& value, const std::string& path, MappingRow& row) {
     int sources = 0;
     for (const char* name : {"copy", "constant", "rule", "by"})
-      sources += member(value, name) != nullptr ? 1 : 0;
+      sources += find_member(value, name) != nullptr ? 1 : 0;
     if (sources != 1) return add_fault(path, "needs exactly one of copy, constant, rule, by");
-    if (member(value, "of") != nullptr && member(value, "rule") == nullptr)
+    if (find_member(value, "of") != nullptr && find_member(value, "rule") == nullptr)
       add_fault(path + ".of", "is only allowed with rule");
-    if (member(value, "table") != nullptr && member(value, "by") == nullptr)
+    if (find_member(value, "table") != nullptr && find_member(value, "by") == nullptr)
       add_fault(path + ".table", "is only allowed with by");
-    if (member(value, "copy") != nullptr) {
+    if (find_member(value, "copy") != nullptr) {
       row.source = Copy{read_string(value, path, "copy")};
-    } else if (member(value, "constant") != nullptr) {
+    } else if (find_member(value, "constant") != nullptr) {
       row.source = Constant{read_string(value, path, "constant")};
-    } else if (member(value, "rule") != nullptr) {
+    } else if (find_member(value, "rule") != nullptr) {
       Derived derived{read_string(value, path, "rule"), read_string(value, path, "of")};
       if (find_rule(derived.rule) == nullptr)
         add_fault(path + ".rule", "\"" + derived.rule + "\" is not a known rule");
       row.source = std::move(derived);
     } else {
       Lookup lookup{read_string(value, path, "by"), {}};
-      const auto* table = member(value, "table");
+      const auto* table = find_member(value, "table");
       if (table == nullptr || !table->IsObject()) {
         add_fault(path + ".table", table == nullptr ? "is missing" : "is not an object");
       } else {
         for (const auto& item : table->GetObject()) {
-          const std::string key(text_of(item.name));
-          if (text_of(item.value).empty())
+          const std::string key(string_value(item.name));
+          if (string_value(item.value).empty())
             add_fault(path + ".table." + key, "is empty, or neither a string nor a number");
-          if (!lookup.table.emplace(key, text_of(item.value)).second) {
+          if (!lookup.values.emplace(key, string_value(item.value)).second) {
             add_fault(path + ".table." + key, "is defined twice");
           }
         }
@@ -258,15 +261,15 @@
     }
   }
 
-  void read_otherwise(const rapidjson::Value& value, const std::string& path, Row& row) {
-    const auto* found = member(value, "otherwise");
+  void read_otherwise(const rapidjson::Value& value, const std::string& path, MappingRow& row) {
+    const auto* found = find_member(value, "otherwise");
     if (found == nullptr) return;
-    if (text_of(*found) == "not-eligible") {
-      row.otherwise = NotEligible{};
-    } else if (text_of(*found) == "leave-out") {
-      row.otherwise = LeaveOut{};
+    if (string_value(*found) == "not-eligible") {
+      row.fallback = NotEligible{};
+    } else if (string_value(*found) == "leave-out") {
+      row.fallback = LeaveOut{};
     } else if (found->IsObject() && check_fields(*found, path + ".otherwise", {"constant"})) {
-      row.otherwise = Constant{read_string(*found, path + ".otherwise", "constant")};
+      row.fallback = Constant{read_string(*found, path + ".otherwise", "constant")};
     } else {
       add_fault(path + ".otherwise", "is not one of not-eligible, leave-out, {\"constant\": …}");
     }
@@ -275,9 +278,9 @@
   /// Returns an error code, or `default_value` if it is absent or invalid.
   std::uint32_t read_code(const rapidjson::Value& value, const std::string& path, const char* name,
                           std::uint32_t default_value) {
-    const auto* found = member(value, name);
+    const auto* found = find_member(value, name);
     if (found == nullptr) return default_value;
-    const auto parsed = number_of(text_of(*found));
+    const auto parsed = parse_number(string_value(*found));
     if (!parsed || *parsed < 1 || *parsed > 1e6 || *parsed != static_cast<std::uint32_t>(*parsed)) {
       add_fault(path + "." + name, "is not an integer from 1 to 1000000");
       return default_value;
@@ -298,7 +301,7 @@
     row.error.to = read_code(value, path, "to", row.error.from);
     if (row.error.to < row.error.from) add_fault(path + ".to", "is less than code");
     row.error.name = read_string(value, path, "name", "");
-    const auto reason = reason_of(read_string(value, path, "reason"));
+    const auto reason = reason_from_name(read_string(value, path, "reason"));
     if (!reason) add_fault(path + ".reason", "is not a known reason");
     const auto ran = read_string(value, path, "ran");
     if (ran != "no" && ran != "maybe") add_fault(path + ".ran", "is neither no nor maybe");
@@ -306,33 +309,34 @@
     if (about != "server" && about != "version" && about != "call") {
       add_fault(path + ".about", "is not one of server, version, call");
     }
-    row.error.meaning = {reason.value_or(Reason::kServerFault), ran == "no" ? Ran::kNo : Ran::kMaybe,
-                         about == "version" ? About::kVersion
-                         : about == "call"  ? About::kCall
-                                            : About::kServer};
+    row.error.meaning = {reason.value_or(Reason::kServerFault),
+                         ran == "no" ? ExecutionState::kNotExecuted : ExecutionState::kMayHaveExecuted,
+                         about == "version" ? ErrorScope::kVersion
+                         : about == "call"  ? ErrorScope::kCall
+                                            : ErrorScope::kServer};
     if (faults_.size() == previous_faults) table_.errors.push_back(std::move(row));
   }
 
-  Table& table_;
+  MappingTable& table_;
   std::vector<std::string>& faults_;
 };
 
 }  // namespace
 
-const Table& own_table() {
-  static const Table table = make_builtin_table();
+const MappingTable& builtin_table() {
+  static const MappingTable table = make_builtin_table();
   return table;
 }
 
-std::vector<std::string> read_table(std::string json, Table& to) {
+std::vector<std::string> parse_operator_table(std::string json, MappingTable& to) {
   rapidjson::Document document;
   if (!settings::parse_in_place(json, document)) return {"translate: not JSON"};
-  return read_table(document, to);
+  return parse_operator_table(document, to);
 }
 
-std::vector<std::string> read_table(const rapidjson::Value& value, Table& to) {
+std::vector<std::string> parse_operator_table(const rapidjson::Value& value, MappingTable& to) {
   std::vector<std::string> faults;
-  Table table;
+  MappingTable table;
   TableReader(table, faults).read(value);
   if (faults.empty()) to = std::move(table);
   return faults;
@@ -359,7 +363,7 @@
   return nullptr;
 }
 
-Dialect with_errors(const Dialect& dialect, const Table& table) {
+Dialect with_errors(const Dialect& dialect, const MappingTable& table) {
   Dialect merged = dialect;
   for (const auto& row : table.errors) {
     if (row.dialect != dialect.name) continue;
--- a/src/translate/table.hpp
+++ b/src/translate/table.hpp
@@ -20,7 +20,7 @@
 
 /// The value of another field, converted to the target's type and unit where needed.
 struct Copy {
-  FieldName of;
+  FieldName source_field;
 };
 /// A fixed value.
 struct Constant {
@@ -29,12 +29,12 @@
 /// The result of a named rule, see rules() below, applied to a field.
 struct Derived {
   std::string rule;
-  FieldName of;
+  FieldName source_field;
 };
 /// A value chosen by the value of another field, such as a region for each tenant.
 struct Lookup {
-  FieldName by;
-  std::map<std::string, std::string, std::less<>> table;
+  FieldName key_field;
+  std::map<std::string, std::string, std::less<>> values;
 };
 /// Where the value of a target field comes from.
 using Source = std::variant<Copy, Constant, Derived, Lookup>;
@@ -48,13 +48,13 @@
 
 /// Defines the source of a target field, or declares that a source field is lost. `from` and `to` name
 /// dialects, or are `*` for any. If several rows match, the one that names more dialects applies.
-struct Row {
+struct MappingRow {
   std::string from = "*";
   std::string to = "*";
-  Kind kind = Kind::kSetUp;
-  FieldName field;               ///< field of `to`; empty if the row declares a loss
-  std::optional<Source> source;  ///< source of `field`
-  std::optional<Otherwise> otherwise = {};
+  MessageKind kind = MessageKind::kSetUp;
+  FieldName target_field;        ///< field of `to`; empty if the row declares a loss
+  std::optional<Source> source;  ///< source of `target_field`
+  std::optional<Otherwise> fallback = {};
   FieldName lost_field = {};     ///< field of `from` that has no counterpart in `to`
   std::string loss_reason = {};  ///< reason for the loss, shown to operators
 };
@@ -66,30 +66,30 @@
 };
 
 /// The rows and errors of one operator's file, or the built-in ones.
-struct Table {
-  std::vector<Row> rows;
+struct MappingTable {
+  std::vector<MappingRow> rows;
   std::vector<ErrorRow> errors;
 };
 
 /// The built-in rows.
-const Table& own_table();
+const MappingTable& builtin_table();
 
 /// Reads an operator's table, the object `translate` in the operator's file (docs/operate-translation.md).
 /// Returns the faults, each with the path of its field. If there are none, `to` holds the table, otherwise it
 /// is unchanged.
-std::vector<std::string> read_table(std::string json, Table& to);
-std::vector<std::string> read_table(const rapidjson::Value& value, Table& to);
+std::vector<std::string> parse_operator_table(std::string json, MappingTable& to);
+std::vector<std::string> parse_operator_table(const rapidjson::Value& value, MappingTable& to);
 
 /// Most bytes that a rule may produce.
-inline constexpr std::size_t kMaxDerived = 64;
-/// Derives a text for the field `target` from the text `in`. Writes at most kMaxDerived bytes to `out` and
-/// their number to `size`. Returns false if no text can be derived.
+inline constexpr std::size_t kMaxDerivedBytes = 64;
+/// Derives a text for the field `target` from the text `in`. Writes at most kMaxDerivedBytes bytes to `out`
+/// and their number to `size`. Returns false if no text can be derived.
 using RuleFunction = bool (*)(std::string_view in, const FieldSpec& target, char* out, std::size_t& size);
 /// A named rule for derived fields.
 struct Rule {
   std::string_view name;
   std::string_view description;  ///< what the rule produces, for operators
-  RuleFunction make;
+  RuleFunction derive;
 };
 /// All rules.
 const std::vector<Rule>& rules();
@@ -98,6 +98,6 @@
 
 /// Returns the dialect with the errors of the operator's table. A row replaces the error with the same codes
 /// and name, and is added if there is none.
-Dialect with_errors(const Dialect& dialect, const Table& table);
+Dialect with_errors(const Dialect& dialect, const MappingTable& table);
 
 }  // namespace amberknot::translate
--- a/src/translate/versions.cpp
+++ b/src/translate/versions.cpp
@@ -4,10 +4,11 @@
 
 namespace amberknot::translate {
 
-void Versions::set_dialect(ServerId id, Server& server, std::optional<DialectNo> dialect, Actions& actions) {
+void Versions::set_dialect(ServerId id, Server& server, std::optional<DialectIndex> dialect,
+                           Actions& actions) {
   if (server.dialect == dialect) return;
   server.dialect = dialect;
-  actions.push_back({VersionAction::What::kChanged, id, 0, dialect});
+  actions.push_back({VersionAction::Kind::kChanged, id, 0, dialect});
 }
 
 void Versions::discard_learned(ServerId id, Server& server, Actions& actions) {
@@ -31,7 +32,7 @@
   server.state = VersionState::kRequesting;
   server.request_connection = server.connections.back();
   server.due = now + rules_.answer_timeout;
-  actions.push_back({VersionAction::What::kRequest, id, server.request_connection, std::nullopt});
+  actions.push_back({VersionAction::Kind::kRequest, id, server.request_connection, std::nullopt});
 }
 
 // The server has no dialect in common with this router or does not answer. It gets no set-ups, and the
@@ -45,13 +46,13 @@
   set_dialect(id, server, std::nullopt, actions);
 }
 
-std::optional<DialectNo> Versions::preferred_dialect(const Server& server,
-                                                     std::span<const DialectNo> spoken) const {
-  std::optional<DialectNo> best;
+std::optional<DialectIndex> Versions::preferred_dialect(const Server& server,
+                                                        std::span<const DialectIndex> supported) const {
+  std::optional<DialectIndex> best;
   std::uint32_t best_rank = 0;
-  for (const auto dialect : spoken) {
+  for (const auto dialect : supported) {
     const auto index = static_cast<std::size_t>(dialect);
-    if (index >= ranks_.size() || ranks_[index] <= best_rank || (server.rejected & set_of(dialect)) != 0)
+    if (index >= ranks_.size() || ranks_[index] <= best_rank || (server.rejected & version_set(dialect)) != 0)
       continue;
     best = dialect;
     best_rank = ranks_[index];
@@ -59,8 +60,8 @@
   return best;
 }
 
-void Versions::listed(Instant now, ServerId id, std::string_view address, std::int64_t started,
-                      std::optional<DialectNo> configured, Actions& actions) {
+void Versions::on_server_listed(Instant now, ServerId id, std::string_view address, std::int64_t started,
+                                std::optional<DialectIndex> configured, Actions& actions) {
   auto& server = servers_[id];
   const bool address_changed = server.address != address;
   const bool is_new_process = address_changed || started > server.started;
@@ -87,11 +88,11 @@
   request_versions(now, id, server, actions);
 }
 
-void Versions::gone(ServerId id) {
+void Versions::on_server_removed(ServerId id) {
   servers_.erase(id);
 }
 
-void Versions::connected(Instant now, ServerId id, std::uint64_t connection, Actions& actions) {
+void Versions::on_connected(Instant now, ServerId id, std::uint64_t connection, Actions& actions) {
   const auto found = servers_.find(id);
   if (found == servers_.end()) return;
   auto& server = found->second;
@@ -105,7 +106,7 @@
         ++counts_.requests;
         server.request_connection = connection;
         server.due = now + rules_.learned_version_ttl;
-        actions.push_back({VersionAction::What::kRequest, id, connection, std::nullopt});
+        actions.push_back({VersionAction::Kind::kRequest, id, connection, std::nullopt});
       } else {
         request_versions(now, id, server, actions);
       }
@@ -117,7 +118,7 @@
   }
 }
 
-void Versions::disconnected(Instant now, ServerId id, std::uint64_t connection) {
+void Versions::on_disconnected(Instant now, ServerId id, std::uint64_t connection) {
   const auto found = servers_.find(id);
   if (found == servers_.end()) return;
   auto& server = found->second;
@@ -141,8 +142,9 @@
   return &server;
 }
 
-void Versions::told(Instant now, ServerId id, std::uint64_t connection, std::string_view process,
-                    std::span<const DialectNo> spoken, Actions& actions) {
+void Versions::on_versions_received(Instant now, ServerId id, std::uint64_t connection,
+                                    std::string_view process, std::span<const DialectIndex> supported,
+                                    Actions& actions) {
   auto* connected_server = find_connected(id, connection);
   if (connected_server == nullptr) return;
   auto& server = *connected_server;
@@ -153,7 +155,7 @@
     }
     server.process = process;
   }
-  const auto dialect = preferred_dialect(server, spoken);
+  const auto dialect = preferred_dialect(server, supported);
   if (!dialect) return mark_unsupported(now, id, server, actions);
   if (server.dialect &&
       ranks_[static_cast<std::size_t>(*dialect)] < ranks_[static_cast<std::size_t>(*server.dialect)]) {
@@ -166,19 +168,19 @@
   set_dialect(id, server, dialect, actions);
 }
 
-void Versions::denied(Instant now, ServerId id, std::uint64_t connection, DialectNo dialect,
-                      Actions& actions) {
+void Versions::on_version_rejected(Instant now, ServerId id, std::uint64_t connection, DialectIndex dialect,
+                                   Actions& actions) {
   auto* connected_server = find_connected(id, connection);
   if (connected_server == nullptr) return;
   auto& server = *connected_server;
   ++counts_.rejected;
-  server.rejected |= set_of(dialect);
+  server.rejected |= version_set(dialect);
   if (server.dialect != dialect) return;  // the message was sent before the server changed its dialect
   set_dialect(id, server, std::nullopt, actions);
   request_versions(now, id, server, actions);
 }
 
-void Versions::tick(Instant now, Actions& actions) {
+void Versions::on_timer(Instant now, Actions& actions) {
   for (auto& [id, server] : servers_) {
     if (!server.due || now < *server.due) continue;
     switch (server.state) {
@@ -204,7 +206,7 @@
           ++counts_.requests;
           server.request_connection = server.connections.back();
           server.due = now + rules_.learned_version_ttl;
-          actions.push_back({VersionAction::What::kRequest, id, server.request_connection, std::nullopt});
+          actions.push_back({VersionAction::Kind::kRequest, id, server.request_connection, std::nullopt});
         }
         break;
       case VersionState::kUnknown:
@@ -215,7 +217,7 @@
   }
 }
 
-std::optional<Instant> Versions::next_tick() const {
+std::optional<Instant> Versions::next_timer() const {
   std::optional<Instant> next;
   for (const auto& [id, server] : servers_) {
     if (server.due && (!next || *server.due < *next)) next = server.due;
@@ -223,7 +225,7 @@
   return next;
 }
 
-std::optional<DialectNo> Versions::speaks(ServerId id) const {
+std::optional<DialectIndex> Versions::dialect_of(ServerId id) const {
   const auto found = servers_.find(id);
   return found != servers_.end() ? found->second.dialect : std::nullopt;
 }
@@ -236,12 +238,12 @@
 DialectSet Versions::dialects_in_use() const {
   DialectSet set = 0;
   for (const auto& [id, server] : servers_) {
-    if (server.dialect) set |= set_of(*server.dialect);
+    if (server.dialect) set |= version_set(*server.dialect);
   }
   return set;
 }
 
-std::optional<DialectNo> Versions::pinned(CallId call) const {
+std::optional<DialectIndex> Versions::pinned(CallId call) const {
   const auto found = pins_.find(call);
   return found != pins_.end() ? std::optional(found->second) : std::nullopt;
 }
--- a/src/translate/versions.hpp
+++ b/src/translate/versions.hpp
@@ -1,4 +1,4 @@
-// Tracks which dialect each server speaks. The dialect is configured, or learned from the server on each
+// Tracks which dialect each server supports. The dialect is configured, or learned from the server on each
 // connection and discarded when the server's process is replaced. This is a state machine without I/O: it
 // takes events and returns actions. The table of its transitions is in docs/translation.md.
 #pragma once
@@ -18,11 +18,11 @@
 namespace amberknot::translate {
 
 /// Index of a dialect in the router's list of server dialects. The decision module knows dialects by it.
-using DialectNo = ProtocolVersion;
+using DialectIndex = ProtocolVersion;
 inline constexpr std::size_t kMaxDialects = 31;  // number 31 stands for an unknown dialect
 /// A set of server dialects.
 using DialectSet = ProtocolVersionSet;
-using core::set_of;
+using core::version_set;
 
 /// Timeouts of the state machine.
 struct VersionRules {
@@ -45,14 +45,14 @@
 
 /// What the owner of the state machine has to do after an event.
 struct VersionAction {
-  enum class What : std::uint8_t {
+  enum class Kind : std::uint8_t {
     kRequest,  ///< send a versions request on the connection
     kChanged,  ///< the server's dialect changed: inform the decision module and use the new one for set-ups
   };
-  What what{};
+  Kind kind{};
   ServerId server{};
-  std::uint64_t connection = 0;        ///< kRequest
-  std::optional<DialectNo> dialect{};  ///< kChanged; nullopt if no dialect is known any more
+  std::uint64_t connection = 0;           ///< kRequest
+  std::optional<DialectIndex> dialect{};  ///< kChanged; nullopt if no dialect is known any more
   friend bool operator==(const VersionAction&, const VersionAction&) = default;
 };
 
@@ -68,42 +68,43 @@
 
   /// The list of servers names a server. `started` is larger for each new process of it; a changed address
   /// also means a new process. `configured` is the dialect that the operator set, if any.
-  void listed(Instant now, ServerId server, std::string_view address, std::int64_t started,
-              std::optional<DialectNo> configured, Actions& actions);
+  void on_server_listed(Instant now, ServerId server, std::string_view address, std::int64_t started,
+                        std::optional<DialectIndex> configured, Actions& actions);
   /// The server was removed from the list. Its calls keep their pinned dialect.
-  void gone(ServerId server);
+  void on_server_removed(ServerId server);
 
   /// A connection to the server is established. Each connection has its own number, so that a late answer
   /// from an earlier connection is ignored.
-  void connected(Instant now, ServerId server, std::uint64_t connection, Actions& actions);
+  void on_connected(Instant now, ServerId server, std::uint64_t connection, Actions& actions);
   /// A connection to the server is closed.
-  void disconnected(Instant now, ServerId server, std::uint64_t connection);
+  void on_disconnected(Instant now, ServerId server, std::uint64_t connection);
   /// The server answered a versions request with its dialects and the name of its process, which may be
   /// empty. A new name at the same address means that the process was replaced, whatever the list of servers
   /// says.
-  void told(Instant now, ServerId server, std::uint64_t connection, std::string_view process,
-            std::span<const DialectNo> spoken, Actions& actions);
+  void on_versions_received(Instant now, ServerId server, std::uint64_t connection, std::string_view process,
+                            std::span<const DialectIndex> supported, Actions& actions);
   /// The server answered a message with an error that says that it does not support the dialect (such as
   /// status 505 or 415).
-  void denied(Instant now, ServerId server, std::uint64_t connection, DialectNo dialect, Actions& actions);
+  void on_version_rejected(Instant now, ServerId server, std::uint64_t connection, DialectIndex dialect,
+                           Actions& actions);
   /// Handles answers that are overdue, delays that have ended and learned dialects that are due for a check.
-  void tick(Instant now, Actions& actions);
-  /// When tick() has to be called next; nullopt if there is nothing to wait for.
-  [[nodiscard]] std::optional<Instant> next_tick() const;
+  void on_timer(Instant now, Actions& actions);
+  /// When on_timer() has to be called next; nullopt if there is nothing to wait for.
+  [[nodiscard]] std::optional<Instant> next_timer() const;
 
   /// The dialect for new set-ups at the server; nullopt if none is known.
-  [[nodiscard]] std::optional<DialectNo> speaks(ServerId server) const;
+  [[nodiscard]] std::optional<DialectIndex> dialect_of(ServerId server) const;
   /// kUnknown for a server that is not listed.
   [[nodiscard]] VersionState state(ServerId server) const;
-  /// The dialects that at least one server speaks now.
+  /// The dialects that at least one server uses now.
   [[nodiscard]] DialectSet dialects_in_use() const;
   /// Number of listed servers.
   [[nodiscard]] std::size_t server_count() const { return servers_.size(); }
 
   /// Records the dialect in which a call is set up. All later messages of the call use it, even after the
   /// server has changed its dialect. A new attempt of the call replaces it.
-  void pin(CallId call, DialectNo dialect) { pins_[call] = dialect; }
-  [[nodiscard]] std::optional<DialectNo> pinned(CallId call) const;
+  void pin(CallId call, DialectIndex dialect) { pins_[call] = dialect; }
+  [[nodiscard]] std::optional<DialectIndex> pinned(CallId call) const;
   void unpin(CallId call) { pins_.erase(call); }
   /// Number of calls with a pinned dialect.
   [[nodiscard]] std::size_t pins() const { return pins_.size(); }
@@ -121,7 +122,7 @@
     std::string address;
     std::int64_t started = 0;
     std::string process;  ///< name that the process gave in its last answer; may be empty
-    std::optional<DialectNo> dialect;
+    std::optional<DialectIndex> dialect;
     DialectSet rejected = 0;                 ///< dialects that this process does not support
     std::uint64_t request_connection = 0;    ///< connection of the last versions request
     std::vector<std::uint64_t> connections;  ///< established connections, the oldest first
@@ -139,16 +140,16 @@
   /// Stops set-ups to the server until a later versions request succeeds.
   void mark_unsupported(Instant now, ServerId id, Server& server, Actions& actions);
   /// Changes the server's dialect and reports the change.
-  void set_dialect(ServerId id, Server& server, std::optional<DialectNo> dialect, Actions& actions);
+  void set_dialect(ServerId id, Server& server, std::optional<DialectIndex> dialect, Actions& actions);
   /// Returns the usable dialect with the highest rank, or nullopt if there is none.
-  [[nodiscard]] std::optional<DialectNo> preferred_dialect(const Server& server,
-                                                           std::span<const DialectNo> spoken) const;
+  [[nodiscard]] std::optional<DialectIndex> preferred_dialect(const Server& server,
+                                                              std::span<const DialectIndex> supported) const;
 
   VersionRules rules_;
   std::vector<std::uint32_t> ranks_;
   /// Ordered, so that the same events give the same actions on every machine.
   std::map<ServerId, Server> servers_;
-  std::unordered_map<CallId, DialectNo> pins_;
+  std::unordered_map<CallId, DialectIndex> pins_;
   Counts counts_;
 };
 
--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -12,20 +12,20 @@
 
 const std::string kCallId = "00000000000000a1";
 
-struct AdminServerFixture : Bench {
+struct AdminServerFixture : RouterFixture {
   static app::Config config_with_admin_server() {
-    auto config = bench_config();
-    config.control = asio::ip::tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0};
+    auto config = router_config();
+    config.admin_listen = asio::ip::tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0};
     return config;
   }
-  AdminServerFixture() : Bench({}, config_with_admin_server()) {}
+  AdminServerFixture() : RouterFixture({}, config_with_admin_server()) {}
   /// Sends a command on a new connection and returns the whole reply once the server has closed the
   /// connection.
   std::string reply_to(const std::string& line) {
     auto client = connect(*router->admin_endpoint());
     client->stream->send(line);
-    until([&] { return client->closed; });
-    return client->in;
+    run_until([&] { return client->closed; });
+    return client->received;
   }
 };
 
@@ -85,39 +85,39 @@
 }
 
 TEST_CASE("the admin server answers status while 200 clients send nothing or an incomplete line") {
-  AdminServerFixture bench;
-  std::vector<std::unique_ptr<End>> idle_clients;
+  AdminServerFixture fixture;
+  std::vector<std::unique_ptr<TestConnection>> idle_clients;
   for (int i = 0; i < 200; ++i) {
-    idle_clients.push_back(bench.connect(*bench.router->admin_endpoint()));
+    idle_clients.push_back(fixture.connect(*fixture.router->admin_endpoint()));
     if (i % 2 == 1) idle_clients.back()->stream->send("sta");
   }
   // The idle clients occupy connections but do not block the server, and none of them gets an answer.
-  CHECK(bench.reply_to("status\n") == "+OK yes\n");
-  for (const auto& client : idle_clients) CHECK(client->in.empty());
+  CHECK(fixture.reply_to("status\n") == "+OK yes\n");
+  for (const auto& client : idle_clients) CHECK(client->received.empty());
 }
 
 TEST_CASE("an invalid command gets one -ERR reply that repeats it, and the server keeps serving") {
-  AdminServerFixture bench;
-  CHECK(bench.reply_to("reboot\n") == "-ERR unknown call: reboot\n");
-  CHECK(bench.reply_to("\n") == "-ERR empty line\n");
-  CHECK(bench.reply_to(std::string(400, 'x') + "\n").starts_with("-ERR line too long"));
-  CHECK(bench.reply_to("status\n") == "+OK yes\n");
-  bench.settle();
+  AdminServerFixture fixture;
+  CHECK(fixture.reply_to("reboot\n") == "-ERR unknown call: reboot\n");
+  CHECK(fixture.reply_to("\n") == "-ERR empty line\n");
+  CHECK(fixture.reply_to(std::string(400, 'x') + "\n").starts_with("-ERR line too long"));
+  CHECK(fixture.reply_to("status\n") == "+OK yes\n");
+  fixture.wait_for_messages_in_transit();
 }
 
 TEST_CASE("stats counts the outcomes of a fulfilled, a refused and an invalid call") {
-  AdminServerFixture bench;
-  bench.list();
-  bench.standing(kCallId);  // fulfilled with one relayed attempt
-  const std::string refused_id = "00000000000000b2";
-  bench.open(refused_id);
-  auto& server = bench.invited(refused_id);
-  server.stream->send(Bench::sip("SIP/2.0 486 Busy Here", refused_id, "1 INVITE"));
-  bench.until([&] { return bench.caller->has("\"sid\":\"" + refused_id); });
-  bench.say(
+  AdminServerFixture fixture;
+  fixture.announce_server();
+  fixture.establish_call(kCallId);  // fulfilled with one relayed attempt
+  const std::string rejected_id = "00000000000000b2";
+  fixture.send_set_up(rejected_id);
+  auto& server = fixture.wait_for_invite(rejected_id);
+  server.stream->send(RouterFixture::sip_message("SIP/2.0 486 Busy Here", rejected_id, "1 INVITE"));
+  fixture.run_until([&] { return fixture.caller->has_received("\"sid\":\"" + rejected_id); });
+  fixture.send_from_caller(
       "{\"msg\":\"open\",\"sid\":\"00000000000000c3\",\"attrs\":{\"class\":\"nope\",\"left\":\"900\"}}\n");
-  bench.until([&] { return bench.caller->has("\"sid\":\"00000000000000c3\""); });
-  const auto stats = bench.reply_to("stats\n");
+  fixture.run_until([&] { return fixture.caller->has_received("\"sid\":\"00000000000000c3\""); });
+  const auto stats = fixture.reply_to("stats\n");
   CAPTURE(stats);
   CHECK(stats.starts_with("+OK\n"));
   CHECK(stats.ends_with("\n.\n"));
@@ -129,34 +129,36 @@
 }
 
 TEST_CASE("standby fails status and probes at once, serves open connections and then closes them") {
-  AdminServerFixture bench;
-  bench.list();
-  bench.open(kCallId);
-  auto& server = bench.invited(kCallId);
-  CHECK(bench.reply_to("standby\n") == "+OK standby\n");
-  CHECK(bench.reply_to("status\n").starts_with("-ERR no"));
-  bench.say("{\"msg\":\"probe\",\"sid\":\"00000000000000ff\",\"attrs\":{},\"code\":0}\n");
-  bench.until(
-      [&] { return bench.caller->has("\"probed\",\"sid\":\"00000000000000ff\",\"attrs\":{},\"code\":0}"); });
+  AdminServerFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kCallId);
+  auto& server = fixture.wait_for_invite(kCallId);
+  CHECK(fixture.reply_to("standby\n") == "+OK standby\n");
+  CHECK(fixture.reply_to("status\n").starts_with("-ERR no"));
+  fixture.send_from_caller("{\"msg\":\"probe\",\"sid\":\"00000000000000ff\",\"attrs\":{},\"code\":0}\n");
+  fixture.run_until([&] {
+    return fixture.caller->has_received("\"probed\",\"sid\":\"00000000000000ff\",\"attrs\":{},\"code\":0}");
+  });
   // The connection still has to carry an answer and then the release of the established call, so it is closed
   // only after both are written. Closed earlier, there would be no connection for the release.
-  CHECK_FALSE(bench.caller->closed);
-  bench.answer(server, kCallId);
-  bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kCallId); });
-  bench.settle();
-  CHECK_FALSE(bench.caller->closed);
-  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallId, "2 BYE", "Reason: Q.850;cause=16\r\n"));
-  bench.until([&] { return bench.caller->closed; });
-  CHECK(bench.caller->has("\"close\",\"sid\":\"" + kCallId));
+  CHECK_FALSE(fixture.caller->closed);
+  fixture.answer(server, kCallId);
+  fixture.run_until([&] { return fixture.caller->has_received("\"ready\",\"sid\":\"" + kCallId); });
+  fixture.wait_for_messages_in_transit();
+  CHECK_FALSE(fixture.caller->closed);
+  server.stream->send(
+      RouterFixture::sip_message("BYE sip:x@net SIP/2.0", kCallId, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  fixture.run_until([&] { return fixture.caller->closed; });
+  CHECK(fixture.caller->has_received("\"close\",\"sid\":\"" + kCallId));
   // A connection that is opened during standby is served too, then closed.
-  auto late_caller = bench.connect(bench.router->callers_at());
+  auto late_caller = fixture.connect(fixture.router->callers_endpoint());
   late_caller->stream->send("{\"msg\":\"probe\",\"sid\":\"00000000000000fe\",\"attrs\":{},\"code\":0}\n");
-  bench.until([&] { return late_caller->has("\"probed\""); });
-  bench.until([&] { return late_caller->closed; });
-  CHECK(bench.reply_to("active\n") == "+OK active\n");
-  CHECK(bench.reply_to("status\n") == "+OK yes\n");
-  bench.caller = bench.connect(bench.router->callers_at());
-  bench.settle();
+  fixture.run_until([&] { return late_caller->has_received("\"probed\""); });
+  fixture.run_until([&] { return late_caller->closed; });
+  CHECK(fixture.reply_to("active\n") == "+OK active\n");
+  CHECK(fixture.reply_to("status\n") == "+OK yes\n");
+  fixture.caller = fixture.connect(fixture.router->callers_endpoint());
+  fixture.wait_for_messages_in_transit();
 }
 
 }  // namespace amberknot::tests
@@ -164,12 +166,12 @@
 namespace amberknot::tests {
 
 TEST_CASE("during a shutdown status fails, so that clients turn to another process") {
-  AdminServerFixture bench;
-  CHECK(bench.reply_to("status\n") == "+OK yes\n");
+  AdminServerFixture fixture;
+  CHECK(fixture.reply_to("status\n") == "+OK yes\n");
   bool has_exited = false;
-  bench.router->shut_down([&] { has_exited = true; });
-  CHECK(bench.reply_to("status\n") == "-ERR no: stopping\n");
-  bench.until([&] { return has_exited; });
+  fixture.router->shut_down([&] { has_exited = true; });
+  CHECK(fixture.reply_to("status\n") == "-ERR no: stopping\n");
+  fixture.run_until([&] { return has_exited; });
 }
 
 }  // namespace amberknot::tests
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -107,7 +107,7 @@
   Scenario scenario(settings);
   scenario.update_endpoints({ready_endpoint(1)});
   scenario.start_call(0, 1);
-  settings.limits.max_tries = 1;
+  settings.limits.max_attempts = 1;
   scenario.apply_reload(settings.classes, settings.limits);
   EXPECT_EQ(count_negative_answers(scenario.end_attempt(0, 1, Outcome::kNotSent)), 1U);
 }
@@ -167,7 +167,7 @@
 
 TEST(Tokens, NoCancelIfTheLimitsForbidIt) {
   auto settings = default_settings();
-  settings.limits.cancel = false;
+  settings.limits.may_cancel = false;
   Scenario scenario(settings);
   scenario.update_endpoints({ready_endpoint(1)});
   scenario.start_call(0, 1);
@@ -190,7 +190,7 @@
   scenario.update_endpoints({ready_endpoint(1)});
   warm_up(scenario, 1, 0);
   LoadReport report;
-  report.wait = 900ms;
+  report.queue_delay = 900ms;
   scenario.at(100ms).end_attempt(0, 1, Outcome::kOk, true, 0, report);
   EXPECT_TRUE(actions_of<ForwardCall>(scenario.at(105ms).start_call(2, 1)).empty());
 }
@@ -330,7 +330,7 @@
 
 TEST(HealthCheck, SilenceAloneIsAFailureIfHealthChecksAreForbidden) {
   auto settings = default_settings();
-  settings.limits.probes = false;
+  settings.limits.may_check_health = false;
   Scenario scenario(settings);
   scenario.update_endpoints({ready_endpoint(1), ready_endpoint(2)});
   scenario.start_call(1, 1);
@@ -495,7 +495,7 @@
 
 LoadReport report_with_wait(Duration wait) {
   LoadReport report;
-  report.wait = wait;
+  report.queue_delay = wait;
   return report;
 }
 
@@ -604,8 +604,8 @@
 TEST(RetryAfter, RejectedCallersAreAskedToWaitOnlyDuringOverload) {
   for (const bool is_overloaded : {false, true}) {
     auto settings = default_settings();
-    settings.limits.retry_advice = true;
-    settings.limits.max_retry_advice = 2s;
+    settings.limits.may_advise_retry = true;
+    settings.limits.max_retry_after = 2s;
     Scenario scenario(settings);
     scenario.update_endpoints({ready_endpoint(1)});
     warm_up(scenario, 1, 0);
@@ -621,7 +621,7 @@
 
 TEST(HealthCheck, NoCheckIfTheLimitsForbidIt) {
   auto settings = default_settings();
-  settings.limits.probes = false;
+  settings.limits.may_check_health = false;
   Scenario scenario(settings);
   scenario.update_endpoints({ready_endpoint(1), ready_endpoint(2)});
   scenario.start_call(1, 1);
--- a/tests/bad_peers_test.cpp
+++ b/tests/bad_peers_test.cpp
@@ -12,8 +12,8 @@
 const std::string kCallD = "00000000000000d4";
 
 /// Resets its connection as soon as it is open.
-struct ResettingEnd : End {
-  using End::End;
+struct ResettingEnd : TestConnection {
+  using TestConnection::TestConnection;
   void on_open(net::TcpConnection& stream) override {
     asio::post(loop.io, [end = this, keep_alive = stream.shared_from_this()] { end->reset(); });
   }
@@ -24,110 +24,114 @@
 TEST_CASE("an answer with an invalid length closes its connection at once") {
   for (const char* length : {"-1", "3000000000", "20000", "x", "99999999999999999999"}) {
     CAPTURE(length);
-    Bench bench;
-    bench.list();
-    bench.open(kCallA, 300);
-    auto& end = bench.invited(kCallA);
+    RouterFixture fixture;
+    fixture.announce_server();
+    fixture.send_set_up(kCallA, 300);
+    auto& end = fixture.wait_for_invite(kCallA);
     const auto before = Loop::now();
     end.stream->send("SIP/2.0 200 OK\r\nCall-ID: " + kCallA +
                      "\r\nCSeq: 1 INVITE\r\nContent-Length: " + length + "\r\n\r\nsdp");
-    bench.until([&] { return end.closed; });
+    fixture.run_until([&] { return end.closed; });
     CHECK(Loop::now() - before < milliseconds{200});
-    bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
-    CHECK_FALSE(bench.caller->has("\"ready\""));
-    CHECK(bench.router->counters().attempt_ends[static_cast<int>(Outcome::kReset)] == 1);
+    fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallA); });
+    CHECK_FALSE(fixture.caller->has_received("\"ready\""));
+    CHECK(fixture.router->counters().attempt_ends[static_cast<int>(Outcome::kReset)] == 1);
   }
 }
 
 // Guards against a truncated message whose missing part is taken from the messages that follow it.
 TEST_CASE("after a truncated body the connection gets no further calls and is closed") {
-  Bench bench;
-  bench.list();
-  bench.open(kCallA);
-  auto& end = bench.invited(kCallA);
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kCallA);
+  auto& end = fixture.wait_for_invite(kCallA);
   end.stream->send("SIP/2.0 200 OK\r\nCall-ID: " + kCallA +
                    "\r\nCSeq: 1 INVITE\r\nContent-Length: 500\r\n\r\nsd");
-  bench.until([&] { return end.has("ACK") || bench.router->counters().attempts == 1; });
-  bench.settle();
-  bench.open(kCallB);  // uses another connection
-  auto& other = bench.invited(kCallB);
+  fixture.run_until([&] { return end.has_received("ACK") || fixture.router->counters().attempts == 1; });
+  fixture.wait_for_messages_in_transit();
+  fixture.send_set_up(kCallB);  // uses another connection
+  auto& other = fixture.wait_for_invite(kCallB);
   CHECK(&other != &end);
-  bench.answer(other, kCallB);
-  bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kCallB); });
-  bench.until([&] { return end.closed; });
-  CHECK_FALSE(bench.caller->has("\"sid\":\"" + kCallA));  // set up again after its release
-  bench.until([&] { return bench.server.with("Call-ID: " + kCallA + "\r\nCSeq: 2 INVITE") != nullptr; });
-  bench.answer(*bench.server.with("Call-ID: " + kCallA + "\r\nCSeq: 2 INVITE"), kCallA);
-  bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kCallA); });
+  fixture.answer(other, kCallB);
+  fixture.run_until([&] { return fixture.caller->has_received("\"ready\",\"sid\":\"" + kCallB); });
+  fixture.run_until([&] { return end.closed; });
+  CHECK_FALSE(fixture.caller->has_received("\"sid\":\"" + kCallA));  // set up again after its release
+  fixture.run_until([&] {
+    return fixture.server.find_connection_with("Call-ID: " + kCallA + "\r\nCSeq: 2 INVITE") != nullptr;
+  });
+  fixture.answer(*fixture.server.find_connection_with("Call-ID: " + kCallA + "\r\nCSeq: 2 INVITE"), kCallA);
+  fixture.run_until([&] { return fixture.caller->has_received("\"ready\",\"sid\":\"" + kCallA); });
 }
 
 TEST_CASE(
     "an invalid session description is not passed on: the call is released at the server and ends once") {
   for (const std::string& body : {std::string("a\0b", 3), std::string("\xff\xfe"), std::string()}) {
-    Bench bench;
-    bench.list();
-    bench.open(kCallA, 300);
-    auto& end = bench.invited(kCallA);
-    end.stream->send(Bench::sip("SIP/2.0 200 OK", kCallA, "1 INVITE", "", body));
-    bench.until([&] { return end.closed; });
-    bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
-    CHECK_FALSE(bench.caller->has("\"ready\""));
-    bench.until([&] { return bench.server.count("BYE sip:") >= 1; });
-    CHECK(bench.router->counters().malformed_answers == 1);
+    RouterFixture fixture;
+    fixture.announce_server();
+    fixture.send_set_up(kCallA, 300);
+    auto& end = fixture.wait_for_invite(kCallA);
+    end.stream->send(RouterFixture::sip_message("SIP/2.0 200 OK", kCallA, "1 INVITE", "", body));
+    fixture.run_until([&] { return end.closed; });
+    fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallA); });
+    CHECK_FALSE(fixture.caller->has_received("\"ready\""));
+    fixture.run_until([&] { return fixture.server.count("BYE sip:") >= 1; });
+    CHECK(fixture.router->counters().malformed_answers == 1);
   }
 }
 
 TEST_CASE("an answer with an unknown id and a duplicate answer do not disturb a call") {
-  Bench bench;
-  bench.list();
-  bench.open(kCallA);
-  auto& end = bench.invited(kCallA);
-  end.stream->send(Bench::sip("SIP/2.0 200 OK", kCallB, "1 INVITE", "", "other") +
-                   Bench::sip("SIP/2.0 200 OK", kCallA, "1 INVITE", "", "sdp") +
-                   Bench::sip("SIP/2.0 200 OK", kCallA, "1 INVITE", "", "sdp"));
-  bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kCallA); });
-  bench.until([&] { return end.count(" ACK\r\n") == 3; });
-  bench.settle();
-  CHECK(bench.caller->count("\"sid\":\"00000000000000") == 1 + bench.caller->count("\"probed\""));
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kCallA);
+  auto& end = fixture.wait_for_invite(kCallA);
+  end.stream->send(RouterFixture::sip_message("SIP/2.0 200 OK", kCallB, "1 INVITE", "", "other") +
+                   RouterFixture::sip_message("SIP/2.0 200 OK", kCallA, "1 INVITE", "", "sdp") +
+                   RouterFixture::sip_message("SIP/2.0 200 OK", kCallA, "1 INVITE", "", "sdp"));
+  fixture.run_until([&] { return fixture.caller->has_received("\"ready\",\"sid\":\"" + kCallA); });
+  fixture.run_until([&] { return end.count(" ACK\r\n") == 3; });
+  fixture.wait_for_messages_in_transit();
+  CHECK(fixture.caller->count("\"sid\":\"00000000000000") == 1 + fixture.caller->count("\"probed\""));
   CHECK(end.count("BYE sip:") == 1);  // for the unknown id
-  CHECK(bench.router->table().established() == 1);
+  CHECK(fixture.router->table().established() == 1);
 }
 
 // Guards against taking the reset of one connection for a dead server process: the set-up was not sent yet,
 // so its attempt has not ended.
 TEST_CASE("a set-up whose new connection is reset uses the next connection") {
-  Bench bench;
+  RouterFixture fixture;
   int created = 0;
-  bench.server.make = [&]() -> std::unique_ptr<End> {
-    if (++created <= 2) return std::make_unique<ResettingEnd>(bench.loop);
-    return std::make_unique<End>(bench.loop);
+  fixture.server.make_connection = [&]() -> std::unique_ptr<TestConnection> {
+    if (++created <= 2) return std::make_unique<ResettingEnd>(fixture.loop);
+    return std::make_unique<TestConnection>(fixture.loop);
   };
-  bench.list();
-  bench.open(kCallA);
-  bench.until([&] { return bench.server.count(" INVITE\r\n") > 0; });
-  auto& end = *bench.server.with(" INVITE\r\n");
-  bench.answer(end, kCallA);
-  bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kCallA); });
-  CHECK(bench.router->counters().attempt_ends[static_cast<int>(Outcome::kConnectFailed)] == 0);
+  fixture.announce_server();
+  fixture.send_set_up(kCallA);
+  fixture.run_until([&] { return fixture.server.count(" INVITE\r\n") > 0; });
+  auto& end = *fixture.server.find_connection_with(" INVITE\r\n");
+  fixture.answer(end, kCallA);
+  fixture.run_until([&] { return fixture.caller->has_received("\"ready\",\"sid\":\"" + kCallA); });
+  CHECK(fixture.router->counters().attempt_ends[static_cast<int>(Outcome::kConnectFailed)] == 0);
 }
 
 // Guards against waiting on a connection that is open but stalled, while other connections answer set-ups
 // that were sent later.
 TEST_CASE("a silent connection overtaken by others is closed, and its call is set up again") {
-  Bench bench;
-  bench.list();
-  bench.open(kCallA);
-  auto& silent = bench.invited(kCallA);
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kCallA);
+  auto& silent = fixture.wait_for_invite(kCallA);
   const Instant sent = Loop::now();
-  bench.until([&] { return Loop::now() - sent > milliseconds{80}; });
-  bench.open(kCallB);
-  auto& other = bench.invited(kCallB);
+  fixture.run_until([&] { return Loop::now() - sent > milliseconds{80}; });
+  fixture.send_set_up(kCallB);
+  auto& other = fixture.wait_for_invite(kCallB);
   REQUIRE(&other != &silent);  // the connection with the fewest set-ups in progress
-  bench.answer(other, kCallB);
-  bench.until([&] { return silent.closed; });
-  CHECK(bench.router->counters().stalled_connections == 1);
+  fixture.answer(other, kCallB);
+  fixture.run_until([&] { return silent.closed; });
+  CHECK(fixture.router->counters().stalled_connections == 1);
   CHECK_FALSE(other.closed);
-  bench.until([&] { return bench.server.with("Call-ID: " + kCallA + "\r\nCSeq: 2 INVITE") != nullptr; });
+  fixture.run_until([&] {
+    return fixture.server.find_connection_with("Call-ID: " + kCallA + "\r\nCSeq: 2 INVITE") != nullptr;
+  });
   CHECK(Loop::now() - sent >= milliseconds{500});
 }
 
@@ -135,26 +139,26 @@
 // the closed connection, and the server repeats it only on the next new connection, not on those already
 // open (PROTOCOL).
 TEST_CASE("while calls are established, a stalled connection is replaced although others are open") {
-  Bench bench;
-  bench.list();
-  bench.open(kCallA);
-  auto& silent = bench.invited(kCallA);
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kCallA);
+  auto& silent = fixture.wait_for_invite(kCallA);
   const Instant sent = Loop::now();
-  bench.open(kCallB);
-  bench.open(kCallC);  // with set-ups in progress on both connections a third is opened
-  auto& other = bench.invited(kCallB);
+  fixture.send_set_up(kCallB);
+  fixture.send_set_up(kCallC);  // with set-ups in progress on both connections a third is opened
+  auto& other = fixture.wait_for_invite(kCallB);
   REQUIRE(&other != &silent);
-  bench.until([&] { return bench.server.ends.size() == 3; });
-  bench.answer(other, kCallB);  // this call is established
-  if (auto& third = bench.invited(kCallC); &third != &silent) bench.answer(third, kCallC);
-  bench.until([&] { return Loop::now() - sent > milliseconds{80}; });
-  bench.open(kCallD);
-  auto& later = bench.invited(kCallD);
+  fixture.run_until([&] { return fixture.server.connections.size() == 3; });
+  fixture.answer(other, kCallB);  // this call is established
+  if (auto& third = fixture.wait_for_invite(kCallC); &third != &silent) fixture.answer(third, kCallC);
+  fixture.run_until([&] { return Loop::now() - sent > milliseconds{80}; });
+  fixture.send_set_up(kCallD);
+  auto& later = fixture.wait_for_invite(kCallD);
   REQUIRE(&later != &silent);
-  bench.answer(later, kCallD);
-  bench.until([&] { return silent.closed; });
-  CHECK(bench.router->counters().stalled_connections == 1);
-  bench.until([&] { return bench.server.ends.size() == 4; });
+  fixture.answer(later, kCallD);
+  fixture.run_until([&] { return silent.closed; });
+  CHECK(fixture.router->counters().stalled_connections == 1);
+  fixture.run_until([&] { return fixture.server.connections.size() == 4; });
   CHECK(Loop::now() - sent < milliseconds{450});  // the new connection was not opened for a repeated set-up
 }
 
@@ -163,59 +167,60 @@
 TEST_CASE(
     "a connection with an unanswered cancelled set-up is not chosen while others answer, and is closed "
     "later") {
-  Bench bench;
-  bench.list();
-  bench.open(kCallA);
-  auto& silent = bench.invited(kCallA);
-  bench.say("{\"msg\":\"close\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":16}\n");
-  bench.until([&] { return silent.has("CANCEL sip:"); });
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kCallA);
+  auto& silent = fixture.wait_for_invite(kCallA);
+  fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":16}\n");
+  fixture.run_until([&] { return silent.has_received("CANCEL sip:"); });
   // The other connections answer at shorter intervals than the stall time-out, until the stalled one is
   // closed.
   int created = 0;
   std::string last_call;
-  bench.until([&] {
-    if (last_call.empty() || bench.caller->has("\"ready\",\"sid\":\"" + last_call)) {
+  fixture.run_until([&] {
+    if (last_call.empty() || fixture.caller->has_received("\"ready\",\"sid\":\"" + last_call)) {
       last_call = std::to_string(1'000'000'000'000'000 + ++created);
-      bench.open(last_call);
-      bench.answer(bench.invited(last_call), last_call);
+      fixture.send_set_up(last_call);
+      fixture.answer(fixture.wait_for_invite(last_call), last_call);
     }
     return silent.closed;
   });
   CHECK(silent.count(" INVITE\r\n") == 1);
-  CHECK(bench.router->counters().stalled_connections == 1);
+  CHECK(fixture.router->counters().stalled_connections == 1);
   CHECK(created > 1);
 }
 
 // Guards against a call that stays established at its server for good because its release was lost with the
 // connection.
 TEST_CASE("an unconfirmed release is sent again when its connection is lost") {
-  Bench bench;
-  bench.list();
-  bench.standing(kCallA);
-  bench.say("{\"msg\":\"close\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":16}\n");
-  bench.until([&] { return bench.server.with("BYE sip:77aa@net") != nullptr; });
-  bench.server.with("BYE sip:77aa@net")->reset();
-  bench.until([&] { return bench.server.count("BYE sip:77aa@net") == 2; });
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.establish_call(kCallA);
+  fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":16}\n");
+  fixture.run_until([&] { return fixture.server.find_connection_with("BYE sip:77aa@net") != nullptr; });
+  fixture.server.find_connection_with("BYE sip:77aa@net")->reset();
+  fixture.run_until([&] { return fixture.server.count("BYE sip:77aa@net") == 2; });
   // A confirmed release is not sent again.
-  auto& end =
-      bench.server.ends.back()->has("BYE") ? *bench.server.ends.back() : *bench.server.with("BYE sip:");
-  end.stream->send(Bench::sip("SIP/2.0 200 OK", kCallA, "2 BYE"));
-  bench.settle();
+  auto& end = fixture.server.connections.back()->has_received("BYE")
+                  ? *fixture.server.connections.back()
+                  : *fixture.server.find_connection_with("BYE sip:");
+  end.stream->send(RouterFixture::sip_message("SIP/2.0 200 OK", kCallA, "2 BYE"));
+  fixture.wait_for_messages_in_transit();
 }
 
 // Guards against discarding received bytes because a write failed.
 TEST_CASE("received bytes are still read after a failed write") {
-  Bench bench;
-  Listener listener(bench.loop);
-  asio::ip::tcp::socket peer_socket(bench.loop.io);
+  RouterFixture fixture;
+  StandInListener listener(fixture.loop);
+  asio::ip::tcp::socket peer_socket(fixture.loop.io);
   peer_socket.connect(listener.acceptor.local_endpoint());
-  bench.until([&] { return !listener.ends.empty(); });
-  auto& end = *listener.ends[0];
+  fixture.run_until([&] { return !listener.connections.empty(); });
+  auto& end = *listener.connections[0];
   end.stream->send("unread there");
   asio::write(peer_socket, asio::buffer("answer", 6));
   peer_socket.close();  // closing with unread input resets the connection
   end.stream->send("first");
   end.stream->send("second");
-  bench.until([&] { return end.closed; });
-  CHECK(end.in == "answer");
+  fixture.run_until([&] { return end.closed; });
+  CHECK(end.received == "answer");
 }
--- a/tests/core_state_test.cpp
+++ b/tests/core_state_test.cpp
@@ -60,44 +60,46 @@
 TEST_CASE("errors from servers take precedence over the router's own reason in the final answer") {
   constexpr ProtocolVersion kOld{0};
   constexpr ProtocolVersion kNew{1};
-  const ErrorMeaning suspended{Reason::kTenantSuspended, Ran::kNo, About::kCall};
-  const ErrorMeaning full{Reason::kNoCircuit, Ran::kNo, About::kServer};
-  const ErrorMeaning version_rejects_field{Reason::kFieldRejected, Ran::kNo, About::kVersion};
+  const ErrorClassification suspended{Reason::kTenantSuspended, ExecutionState::kNotExecuted,
+                                      ErrorScope::kCall};
+  const ErrorClassification full{Reason::kNoCircuit, ExecutionState::kNotExecuted, ErrorScope::kServer};
+  const ErrorClassification version_rejects_field{Reason::kFieldRejected, ExecutionState::kNotExecuted,
+                                                  ErrorScope::kVersion};
   Limits limits;
-  limits.retry_advice = true;
-  limits.max_retry_advice = milliseconds{500};
-  const auto supported_versions = set_of(kOld) | set_of(kNew);
-  const auto answer = [&](const Placement& placement, ProtocolVersionSet versions) {
+  limits.may_advise_retry = true;
+  limits.max_retry_after = milliseconds{500};
+  const auto supported_versions = version_set(kOld) | version_set(kNew);
+  const auto answer = [&](const AttemptHistory& placement, ProtocolVersionSet versions) {
     return final_answer(placement, versions, Reason::kCongestion, milliseconds{100}, limits);
   };
 
-  Placement no_attempts;
+  AttemptHistory no_attempts;
   CHECK(answer(no_attempts, supported_versions).reason == Reason::kCongestion);
   CHECK(answer(no_attempts, supported_versions).is_rejection());
   CHECK(answer(no_attempts, supported_versions).retry_after == milliseconds{100});
 
-  Placement after_full;
+  AttemptHistory after_full;
   after_full.on_attempt_ended(kOld, full, milliseconds{900});
   CHECK(answer(after_full, supported_versions).reason == Reason::kNoCircuit);
   CHECK(answer(after_full, supported_versions).retry_after ==
         milliseconds{500});  // capped at the configured maximum
-  limits.retry_advice = false;
+  limits.may_advise_retry = false;
   CHECK(answer(after_full, supported_versions).retry_after ==
         milliseconds{100});  // the server's Retry-After is ignored
-  limits.retry_advice = true;
+  limits.may_advise_retry = true;
 
-  Placement after_suspended;
+  AttemptHistory after_suspended;
   after_suspended.on_attempt_ended(kOld, full, milliseconds{900});
   after_suspended.on_attempt_ended(kOld, suspended);
   CHECK(answer(after_suspended, supported_versions).reason == Reason::kTenantSuspended);
   CHECK_FALSE(answer(after_suspended, supported_versions).is_rejection());
   CHECK(answer(after_suspended, supported_versions).retry_after == Duration::zero());
 
-  Placement excluded;
+  AttemptHistory excluded;
   excluded.on_attempt_ended(kOld, version_rejects_field);
-  CHECK(answer(excluded, set_of(kOld)).reason == Reason::kFieldRejected);
-  const Placement excluded_from_the_start(set_of(kOld));
-  CHECK(answer(excluded_from_the_start, set_of(kOld)).reason == Reason::kNoCompatibleServer);
+  CHECK(answer(excluded, version_set(kOld)).reason == Reason::kFieldRejected);
+  const AttemptHistory excluded_from_the_start(version_set(kOld));
+  CHECK(answer(excluded_from_the_start, version_set(kOld)).reason == Reason::kNoCompatibleServer);
   CHECK(answer(excluded_from_the_start, supported_versions).reason == Reason::kCongestion);
   CHECK(answer(excluded_from_the_start, 0).reason ==
         Reason::kCongestion);  // no server has reported its version yet
--- a/tests/diameter_test.cpp
+++ b/tests/diameter_test.cpp
@@ -14,9 +14,9 @@
 
 /// The connection of a test peer, which is a client or a server. It exchanges capabilities and answers
 /// watchdog requests by itself and stores all other messages.
-struct DiameterTestPeer : End {
+struct DiameterTestPeer : TestConnection {
   DiameterTestPeer(Loop& loop, std::string host, std::uint32_t state_id = 1, bool is_client = false)
-      : End(loop), host(std::move(host)), state_id(state_id), is_client(is_client) {}
+      : TestConnection(loop), host(std::move(host)), state_id(state_id), is_client(is_client) {}
 
   Writer& add_origin(Writer& writer) const {
     return writer.add(AvpCode::kOriginHost, host).add(AvpCode::kOriginRealm, "acme");
@@ -40,7 +40,8 @@
   std::size_t on_bytes(net::TcpConnection& /*stream*/, std::span<char> bytes) override {
     std::size_t consumed = 0;
     while (consumed < bytes.size()) {
-      const auto read = read_message({bytes.data() + consumed, bytes.size() - consumed}, net::kMaxMessage);
+      const auto read =
+          read_message({bytes.data() + consumed, bytes.size() - consumed}, net::kMaxMessageBytes);
       if (read.state != ReadResult::State::kComplete) break;
       CHECK(read.fault.result == ResultCode::kSuccess);  // the router must not write malformed messages
       if (read.message.is_request && read.message.has_command(Command::kCapabilitiesExchange)) {
@@ -66,7 +67,7 @@
                                      std::optional<RequestType> type = {}) const {
     std::vector<Message> found;
     for (const auto& raw : received_messages) {
-      const auto read = read_message(raw, net::kMaxMessage);
+      const auto read = read_message(raw, net::kMaxMessageBytes);
       const auto of_type = read.message.number(AvpCode::kCcRequestType);
       if (read.message.has_command(command) && read.message.is_request == is_request &&
           (!type || of_type == static_cast<std::uint32_t>(*type))) {
@@ -126,49 +127,50 @@
   if (has_servers) file.diameter->servers = {"*"};
   if (has_clients) file.diameter->listen = asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0);
   file.diameter->clients = {"till.acme"};
-  file.diameter->watchdog = watchdog;
+  file.diameter->watchdog_interval = watchdog;
   return file;
 }
 
-struct DiameterFixture : Bench {
+struct DiameterFixture : RouterFixture {
   explicit DiameterFixture(const app::OperatorFile& file, bool has_client = false,
-                           const app::Config& base = bench_config())
-      : Bench(file, base) {
-    server.make = [this] { return std::make_unique<DiameterTestPeer>(loop, "s1.acme", state_id); };
-    list();
+                           const app::Config& base = router_config())
+      : RouterFixture(file, base) {
+    server.make_connection = [this] { return std::make_unique<DiameterTestPeer>(loop, "s1.acme", state_id); };
+    announce_server();
     if (!file.diameter->servers.empty()) {
-      until([&] { return !server.ends.empty() && peer().watchdog_requests + peer().state_id > 0; });
+      run_until(
+          [&] { return !server.connections.empty() && peer().watchdog_requests + peer().state_id > 0; });
       wait_until_peer_is_used();
     }
     if (has_client) client_end = connect_client("till.acme");
   }
   /// Waits until the router uses the peer: sets up a call there and releases it.
   void wait_until_peer_is_used() {
-    open("00000000000000f0");
-    until([&] { return !peer().initial_requests().empty(); });
+    send_set_up("00000000000000f0");
+    run_until([&] { return !peer().initial_requests().empty(); });
     peer().send_answer(peer().initial_requests()[0], ResultCode::kSuccess);
-    until([&] { return caller->has("\"ready\",\"sid\":\"00000000000000f0"); });
-    say("{\"msg\":\"close\",\"sid\":\"00000000000000f0\",\"attrs\":{},\"code\":16}\n");
-    until([&] { return peer().termination_requests().size() == 1; });
+    run_until([&] { return caller->has_received("\"ready\",\"sid\":\"00000000000000f0"); });
+    send_from_caller("{\"msg\":\"close\",\"sid\":\"00000000000000f0\",\"attrs\":{},\"code\":16}\n");
+    run_until([&] { return peer().termination_requests().size() == 1; });
     peer().received_messages.clear();
-    caller->in.clear();
+    caller->received.clear();
   }
   /// Connects a client and exchanges capabilities.
   std::unique_ptr<DiameterTestPeer> connect_client(const std::string& host,
                                                    std::uint32_t client_state_id = 1) {
     auto end = std::make_unique<DiameterTestPeer>(loop, host, client_state_id, true);
-    end->stream->connect(*router->diameter_at(), milliseconds{500});
-    until([&] { return !end->find_messages(Command::kCapabilitiesExchange, false).empty(); });
+    end->stream->connect(*router->diameter_endpoint(), milliseconds{500});
+    run_until([&] { return !end->find_messages(Command::kCapabilitiesExchange, false).empty(); });
     return end;
   }
-  DiameterTestPeer& peer() { return static_cast<DiameterTestPeer&>(*server.ends.back()); }
+  DiameterTestPeer& peer() { return static_cast<DiameterTestPeer&>(*server.connections.back()); }
   /// Establishes a call from the JSON lines caller at the peer.
   void establish_call(const std::string& sid) {
     const auto previous_count = peer().initial_requests().size();
-    open(sid);
-    until([&] { return peer().initial_requests().size() > previous_count; });
+    send_set_up(sid);
+    run_until([&] { return peer().initial_requests().size() > previous_count; });
     peer().send_answer(peer().initial_requests()[previous_count], ResultCode::kSuccess);
-    until([&] { return caller->has("\"ready\",\"sid\":\"" + sid); });
+    run_until([&] { return caller->has_received("\"ready\",\"sid\":\"" + sid); });
   }
   std::uint32_t state_id = 1;
   std::unique_ptr<DiameterTestPeer> client_end;
@@ -222,7 +224,7 @@
   };
   for (const auto& test_case : cases) {
     CAPTURE(test_case.name);
-    const auto read = read_message(test_case.bytes, net::kMaxMessage);
+    const auto read = read_message(test_case.bytes, net::kMaxMessageBytes);
     CHECK(read.state == test_case.state);
     CHECK(read.fault.result == test_case.result);
   }
@@ -249,12 +251,12 @@
   DiameterFixture fixture(operator_file(true, true), true);
   auto& client = *fixture.client_end;
   client.send_initial_request("till;1");
-  fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+  fixture.run_until([&] { return fixture.peer().initial_requests().size() == 1; });
   const auto ccr = fixture.peer().initial_requests()[0];
   CHECK(ccr.parameter(ServiceParameter::kDescription) == "desc");
   CHECK(ccr.text(AvpCode::kServiceContextId) == "voice@kartu.example");
   fixture.peer().send_answer(ccr, ResultCode::kSuccess, "a\r\nb");
-  fixture.until([&] { return client.answers().size() == 1; });
+  fixture.run_until([&] { return client.answers().size() == 1; });
   CHECK(result_of(client.answers()[0]) == 2001);
   CHECK(client.answers()[0].text(AvpCode::kSessionId) == "till;1");
   CHECK(client.answers()[0].parameter(ServiceParameter::kDescription) == "a\r\nb");
@@ -264,41 +266,41 @@
   const auto raw = asr.finish();
   fixture.peer().stream->send(std::string(raw));
   fixture.peer().stream->send(std::string(raw));
-  fixture.until([&] { return fixture.peer().find_messages(Command::kAbortSession, false).size() == 2; });
+  fixture.run_until([&] { return fixture.peer().find_messages(Command::kAbortSession, false).size() == 2; });
   CHECK(result_of(fixture.peer().find_messages(Command::kAbortSession, false)[1]) == 5002);
-  fixture.until(
+  fixture.run_until(
       [&] { return !client.abort_requests().empty() && !fixture.peer().termination_requests().empty(); });
   client.send_message(client.credit_control_request("till;1", RequestType::kTermination));
-  fixture.until([&] { return client.answers().size() == 2; });
+  fixture.run_until([&] { return client.answers().size() == 2; });
   CHECK(result_of(client.answers()[1]) == 2001);
   client.send_message(client.credit_control_request("till;1", RequestType::kTermination));
-  fixture.until([&] { return client.answers().size() == 3; });
+  fixture.run_until([&] { return client.answers().size() == 3; });
   CHECK(result_of(client.answers()[2]) == 5002);
   CHECK(client.abort_requests().size() == 1);
 }
 
 TEST_CASE("Diameter: a client's call is set up at a SIP server and released there by its termination") {
   DiameterFixture fixture(operator_file(false, true));
-  fixture.server.make = nullptr;
-  fixture.until([&] { return fixture.server.ends.size() == 2; });
-  fixture.server.ends.clear();
-  fixture.list();
+  fixture.server.make_connection = nullptr;
+  fixture.run_until([&] { return fixture.server.connections.size() == 2; });
+  fixture.server.connections.clear();
+  fixture.announce_server();
   fixture.client_end = fixture.connect_client("till.acme");
   auto& client = *fixture.client_end;
   client.send_initial_request("till;1");
-  fixture.until([&] { return fixture.server.with("INVITE sip:77aa@net") != nullptr; });
-  auto& end = *fixture.server.with("INVITE sip:77aa@net");
-  const auto at = end.in.find("Call-ID: ") + 9;
-  const auto sid = end.in.substr(at, 16);
+  fixture.run_until([&] { return fixture.server.find_connection_with("INVITE sip:77aa@net") != nullptr; });
+  auto& end = *fixture.server.find_connection_with("INVITE sip:77aa@net");
+  const auto at = end.received.find("Call-ID: ") + 9;
+  const auto sid = end.received.substr(at, 16);
   fixture.answer(end, sid, "sdp");
-  fixture.until([&] { return client.answers().size() == 1; });
+  fixture.run_until([&] { return client.answers().size() == 1; });
   CHECK(client.answers()[0].parameter(ServiceParameter::kDescription) == "sdp");
   client.send_message(client.credit_control_request("till;1", RequestType::kUpdate));
   client.send_message(client.credit_control_request("till;1", RequestType::kTermination));
-  fixture.until([&] { return client.answers().size() == 3; });
+  fixture.run_until([&] { return client.answers().size() == 3; });
   CHECK(result_of(client.answers()[1]) == 2001);
   CHECK(result_of(client.answers()[2]) == 2001);
-  fixture.until([&] { return fixture.server.with("BYE sip:77aa@net") != nullptr; });
+  fixture.run_until([&] { return fixture.server.find_connection_with("BYE sip:77aa@net") != nullptr; });
 }
 
 TEST_CASE("Diameter: an initial request gets exactly one answer when messages cross") {
@@ -306,17 +308,17 @@
   auto& client = *fixture.client_end;
   SUBCASE("the success answer comes after the deadline") {
     client.send_initial_request("till;1", "150");
-    fixture.until([&] { return client.answers().size() == 1; });
+    fixture.run_until([&] { return client.answers().size() == 1; });
     CHECK(result_of(client.answers()[0]) == 3004);
     const auto previous_count = fixture.peer().termination_requests().size();
     fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
-    fixture.until([&] { return fixture.peer().termination_requests().size() > previous_count; });
+    fixture.run_until([&] { return fixture.peer().termination_requests().size() > previous_count; });
   }
   SUBCASE("the client terminates the session before its answer") {
     client.send_initial_request("till;1");
-    fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+    fixture.run_until([&] { return fixture.peer().initial_requests().size() == 1; });
     client.send_message(client.credit_control_request("till;1", RequestType::kTermination));
-    fixture.until([&] { return client.answers().size() == 2; });
+    fixture.run_until([&] { return client.answers().size() == 2; });
     CHECK(result_of(client.answers()[0]) == 5012);
     CHECK(result_of(client.answers()[1]) == 2001);
     fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
@@ -324,19 +326,19 @@
   SUBCASE("the request is sent twice") {
     client.send_initial_request("till;1");
     client.send_initial_request("till;1");
-    fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+    fixture.run_until([&] { return fixture.peer().initial_requests().size() == 1; });
     fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
-    fixture.until([&] { return client.answers().size() == 1; });
+    fixture.run_until([&] { return client.answers().size() == 1; });
   }
   SUBCASE("every server rejects the call") {
     client.send_initial_request("till;1", "300");
-    fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+    fixture.run_until([&] { return fixture.peer().initial_requests().size() == 1; });
     fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kTooBusy);
-    fixture.until([&] { return !client.answers().empty(); });
+    fixture.run_until([&] { return !client.answers().empty(); });
     CHECK(result_of(client.answers()[0]) == 3004);
     CHECK(client.answers()[0].is_error);
   }
-  fixture.settle();
+  fixture.wait_for_messages_in_transit();
   const auto answers = client.find_messages(Command::kCreditControl, false, RequestType::kInitial);
   CHECK(answers.size() == 1);
 }
@@ -349,8 +351,8 @@
   }
   SUBCASE("the peer gets calls again once it answers its watchdog") {}
   if (has_pending_set_up) {
-    fixture.open(kCallA, 5000);
-    fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+    fixture.send_set_up(kCallA, 5000);
+    fixture.run_until([&] { return fixture.peer().initial_requests().size() == 1; });
   }
   /// Sends messages other than watchdog answers all the time. They must not make the peer count as healthy.
   Instant last_sent{};
@@ -365,11 +367,11 @@
   const auto is_new_call_routed = [&](int remaining_ms = 150) {
     const auto sid = "00000000000001" + std::to_string(10 + call_count++);
     const auto previous_count = fixture.peer().initial_requests().size();
-    fixture.open(sid, remaining_ms);
+    fixture.send_set_up(sid, remaining_ms);
     const auto has_reached_peer = [&] { return fixture.peer().initial_requests().size() > previous_count; };
-    fixture.until([&] {
+    fixture.run_until([&] {
       send_other_message();
-      return has_reached_peer() || fixture.caller->has("\"close\",\"sid\":\"" + sid);
+      return has_reached_peer() || fixture.caller->has_received("\"close\",\"sid\":\"" + sid);
     });
     if (has_reached_peer())
       fixture.peer().send_answer(fixture.peer().initial_requests()[previous_count], ResultCode::kSuccess);
@@ -379,34 +381,34 @@
   fixture.peer().answers_watchdogs = false;
   const auto answered_requests = fixture.peer().watchdog_requests;
   // The second unanswered request is sent after the router has noticed that the first was not answered.
-  fixture.until([&] {
+  fixture.run_until([&] {
     send_other_message();
     return fixture.peer().watchdog_requests >= answered_requests + 2;
   });
   CHECK_FALSE(is_new_call_routed());
   if (has_pending_set_up) {
     fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
-    fixture.until([&] {
+    fixture.run_until([&] {
       send_other_message();
-      return fixture.caller->has("\"ready\",\"sid\":\"" + kCallA);
+      return fixture.caller->has_received("\"ready\",\"sid\":\"" + kCallA);
     });
   } else {
     fixture.peer().answers_watchdogs = true;
     const auto previous_count = fixture.peer().watchdog_requests;
-    fixture.until([&] {
+    fixture.run_until([&] {
       send_other_message();
       return fixture.peer().watchdog_requests > previous_count;
     });
     CHECK(is_new_call_routed());
   }
-  CHECK(fixture.server.ends.size() == 1);
+  CHECK(fixture.server.connections.size() == 1);
 }
 
 TEST_CASE("Diameter: the calls at a server that restarts are aborted once") {
   DiameterFixture fixture(operator_file(true, false, milliseconds{100}));
   fixture.establish_call(kCallA);
-  fixture.open(kCallB, 400);
-  fixture.until([&] { return fixture.peer().initial_requests().size() == 2; });
+  fixture.send_set_up(kCallB, 400);
+  fixture.run_until([&] { return fixture.peer().initial_requests().size() == 2; });
   SUBCASE("the new state id is in a watchdog answer") {
     fixture.peer().state_id = 2;
   }
@@ -414,12 +416,13 @@
     fixture.state_id = 2;
     fixture.peer().stream->close();
   }
-  fixture.until(
-      [&] { return fixture.caller->has("\"close\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":41}"); });
-  fixture.until([&] { return fixture.caller->has("\"close\",\"sid\":\"" + kCallB); });
+  fixture.run_until([&] {
+    return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":41}");
+  });
+  fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallB); });
   const auto previous_requests = fixture.peer().watchdog_requests;
   // Further answers repeat the new state id.
-  fixture.until([&] { return fixture.peer().watchdog_requests > previous_requests + 1; });
+  fixture.run_until([&] { return fixture.peer().watchdog_requests > previous_requests + 1; });
   CHECK(fixture.caller->count("\"close\",\"sid\":\"" + kCallA) == 1);
   CHECK(fixture.caller->count("\"close\",\"sid\":\"" + kCallB) == 1);
   CHECK(fixture.router->counters().aborted == 1);
@@ -431,40 +434,40 @@
   SUBCASE("the server sends a disconnect request") {
     auto dpr = fixture.peer().request(Command::kDisconnect, 0);
     fixture.peer().send_message(fixture.peer().add_origin(dpr).add(AvpCode::kDisconnectCause, 0U));
-    fixture.until([&] { return fixture.peer().find_messages(Command::kDisconnect, false).size() == 1; });
+    fixture.run_until([&] { return fixture.peer().find_messages(Command::kDisconnect, false).size() == 1; });
     CHECK(result_of(fixture.peer().find_messages(Command::kDisconnect, false)[0]) == 2001);
   }
   SUBCASE("the server is listed as draining") {
-    fixture.list(EndpointState::kDraining);
+    fixture.announce_server(EndpointState::kDraining);
   }
   const auto previous_count = fixture.peer().initial_requests().size();
-  fixture.open(kCallB, 100);
-  fixture.until([&] { return fixture.caller->has("\"close\",\"sid\":\"" + kCallB); });
+  fixture.send_set_up(kCallB, 100);
+  fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallB); });
   CHECK(fixture.peer().initial_requests().size() == previous_count);
-  CHECK_FALSE(fixture.caller->has("\"close\",\"sid\":\"" + kCallA));
+  CHECK_FALSE(fixture.caller->has_received("\"close\",\"sid\":\"" + kCallA));
   CHECK(fixture.router->table().established() == 1);
 }
 
 TEST_CASE("Diameter: sessions outlast a reconnect of their client, but not its restart") {
   DiameterFixture fixture(operator_file(true, true), true);
   fixture.client_end->send_initial_request("till;1");
-  fixture.until([&] { return fixture.peer().initial_requests().size() == 1; });
+  fixture.run_until([&] { return fixture.peer().initial_requests().size() == 1; });
   fixture.peer().send_answer(fixture.peer().initial_requests()[0], ResultCode::kSuccess);
-  fixture.until([&] { return fixture.router->table().established() == 1; });
+  fixture.run_until([&] { return fixture.router->table().established() == 1; });
   fixture.client_end->stream->close();
   SUBCASE("same process: the session is kept, and its abort request waits for the connection") {
-    fixture.settle();
+    fixture.wait_for_messages_in_transit();
     CHECK(fixture.router->table().established() == 1);
     auto asr = fixture.peer().request(Command::kAbortSession, kCreditControl);
     fixture.peer().send_message(fixture.peer().add_origin(
         asr.add(AvpCode::kSessionId, fixture.peer().initial_requests()[0].text(AvpCode::kSessionId))));
-    fixture.until([&] { return fixture.router->table().established() == 0; });
+    fixture.run_until([&] { return fixture.router->table().established() == 0; });
     fixture.client_end = fixture.connect_client("till.acme");
-    fixture.until([&] { return fixture.client_end->abort_requests().size() == 1; });
+    fixture.run_until([&] { return fixture.client_end->abort_requests().size() == 1; });
   }
   SUBCASE("restarted process: the session is released at the server") {
     fixture.client_end = fixture.connect_client("till.acme", 2);
-    fixture.until([&] { return fixture.peer().termination_requests().size() == 1; });
+    fixture.run_until([&] { return fixture.peer().termination_requests().size() == 1; });
     CHECK(fixture.router->table().established() == 0);
   }
 }
@@ -473,11 +476,11 @@
   enum class ClientExit { kTermination, kFin, kReset };
   for (const auto client_exit : {ClientExit::kTermination, ClientExit::kFin, ClientExit::kReset}) {
     DiameterFixture fixture(operator_file(false, true));
-    fixture.server.make = nullptr;
-    fixture.list(EndpointState::kDraining);
+    fixture.server.make_connection = nullptr;
+    fixture.announce_server(EndpointState::kDraining);
     fixture.client_end = fixture.connect_client("till.acme");
     fixture.client_end->send_initial_request("till;1", "2900");
-    fixture.until([&] { return fixture.router->counters().received == 1; });
+    fixture.run_until([&] { return fixture.router->counters().received == 1; });
     if (client_exit == ClientExit::kTermination) {
       fixture.client_end->send_message(
           fixture.client_end->credit_control_request("till;1", RequestType::kTermination));
@@ -486,12 +489,12 @@
     } else {
       fixture.client_end->stream->reset();
     }
-    fixture.until([&] { return fixture.router->counters().abandoned == 1; });
+    fixture.run_until([&] { return fixture.router->counters().abandoned == 1; });
     CHECK(fixture.router->counters().abandoned_while_queued == 1);
-    fixture.list();
-    fixture.open(kCallB);
-    fixture.until([&] { return fixture.server.with("Call-ID: " + kCallB) != nullptr; });
-    fixture.settle();
+    fixture.announce_server();
+    fixture.send_set_up(kCallB);
+    fixture.run_until([&] { return fixture.server.find_connection_with("Call-ID: " + kCallB) != nullptr; });
+    fixture.wait_for_messages_in_transit();
     CHECK(fixture.server.count("INVITE sip:77aa@net") == 1);
     CHECK(fixture.router->counters().attempts == 1);
   }
@@ -499,26 +502,26 @@
 
 TEST_CASE("Diameter: requests queued and in flight at SIGTERM are answered before SIGKILL may follow") {
   constexpr std::size_t kRequests = 8;
-  auto config = bench_config();
+  auto config = router_config();
   for (auto& call_class : config.settings.classes) {
     call_class.deadline = milliseconds{1500};                // SIGKILL may come 2.2 s after SIGTERM
     call_class.latency_objective = std::chrono::seconds{6};  // no attempt is cancelled as silent before that
   }
   DiameterFixture fixture(operator_file(false, true), false, config);
-  fixture.server.make = nullptr;  // the server speaks SIP
+  fixture.server.make_connection = nullptr;  // the server speaks SIP
   fixture.client_end = fixture.connect_client("till.acme");
   auto& client = *fixture.client_end;
   for (std::size_t i = 0; i < kRequests; ++i)
     client.send_initial_request("till;" + std::to_string(i), "2950");
-  fixture.until([&] { return fixture.router->table().unanswered() == kRequests; });
-  fixture.until([&] { return fixture.server.count("CSeq: 1 INVITE") > 0; });
+  fixture.run_until([&] { return fixture.router->table().unanswered() == kRequests; });
+  fixture.run_until([&] { return fixture.server.count("CSeq: 1 INVITE") > 0; });
   bool is_over = false;
   bool is_late = false;
   fixture.router->shut_down([&] { is_over = true; });
-  fixture.loop.after(milliseconds{2600}, [&] { is_late = true; });
-  fixture.until([&] { return is_over || is_late; });
+  fixture.loop.run_after(milliseconds{2600}, [&] { is_late = true; });
+  fixture.run_until([&] { return is_over || is_late; });
   CHECK_FALSE(is_late);
-  fixture.until([&] { return client.answers().size() == kRequests; });
+  fixture.run_until([&] { return client.answers().size() == kRequests; });
   for (const auto& answer : client.answers()) {
     CHECK(result_of(answer) == 3004);  // DIAMETER_TOO_BUSY; there is no result of its own
     CHECK(answer.find(AvpCode::kErrorMessage) != nullptr);  // when to try again
@@ -560,7 +563,7 @@
   for (const auto& test_case : cases) {
     CAPTURE(test_case.name);
     client.send_message(test_case.make());
-    fixture.until([&] { return client.answers().size() == answers + 1; });
+    fixture.run_until([&] { return client.answers().size() == answers + 1; });
     const auto answer = client.answers()[answers++];
     CHECK(result_of(answer) == test_case.result);
     const auto* failed = answer.find(AvpCode::kFailedAvp);
@@ -572,11 +575,11 @@
   }
   auto unknown_command = client.request(static_cast<Command>(258), kCreditControl);
   client.send_message(client.add_origin(unknown_command));
-  fixture.until([&] { return client.find_messages(static_cast<Command>(258), false).size() == 1; });
+  fixture.run_until([&] { return client.find_messages(static_cast<Command>(258), false).size() == 1; });
   CHECK(result_of(client.find_messages(static_cast<Command>(258), false)[0]) == 3001);
   CHECK(fixture.peer().initial_requests().empty());
 
   const auto stranger = fixture.connect_client("stranger.acme");
   CHECK(result_of(stranger->find_messages(Command::kCapabilitiesExchange, false)[0]) == 3010);
-  fixture.until([&] { return stranger->closed; });
+  fixture.run_until([&] { return stranger->closed; });
 }
--- a/tests/directory_test.cpp
+++ b/tests/directory_test.cpp
@@ -29,10 +29,10 @@
   [[nodiscard]] LdapSource source() const {
     LdapSource source;
     source.url = "ldap://127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
-    source.base = "dc=example";
+    source.base_dn = "dc=example";
     source.key_attribute = "associatedDomain";
     source.tenant_attribute = "o";
-    source.timeout = milliseconds{1000};
+    source.query_timeout = milliseconds{1000};
     return source;
   }
   std::atomic<int> search_result{0};           ///< LDAP result code of a search
@@ -121,15 +121,15 @@
   file.diameter->origin_realm = "kartu.example";
   file.diameter->listen = asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0);
   file.ldap = server.source();
-  file.ldap->refresh = milliseconds{30};
-  Bench bench(file);
-  CHECK(bench.router->tenant_of("toko.example") == "acme");
-  CHECK(bench.router->tenant_of("pasar") == "pasar");  // a name that is not listed stands for itself
-  server.search_result = 52;                           // LDAP result code: unavailable
-  const auto previous_failures = bench.router->counters().directory_failures;
-  bench.until([&] { return bench.router->counters().directory_failures > previous_failures + 1; });
-  CHECK(bench.router->tenant_of("toko.example") == "acme");
+  file.ldap->refresh_interval = milliseconds{30};
+  RouterFixture fixture(file);
+  CHECK(fixture.router->tenant_of("toko.example") == "acme");
+  CHECK(fixture.router->tenant_of("pasar") == "pasar");  // a name that is not listed stands for itself
+  server.search_result = 52;                             // LDAP result code: unavailable
+  const auto previous_failures = fixture.router->counters().directory_failures;
+  fixture.run_until([&] { return fixture.router->counters().directory_failures > previous_failures + 1; });
+  CHECK(fixture.router->tenant_of("toko.example") == "acme");
   server.is_tenant_renamed = true;
   server.search_result = 0;
-  bench.until([&] { return bench.router->tenant_of("toko.example") == "beta"; });
+  fixture.run_until([&] { return fixture.router->tenant_of("toko.example") == "beta"; });
 }
--- a/tests/fleet_relay_test.cpp
+++ b/tests/fleet_relay_test.cpp
@@ -23,14 +23,14 @@
 
 const asio::ip::address kLoopback = asio::ip::address_v4::loopback();
 
-/// An event loop with a recording scene.
+/// An event loop with a recording context.
 struct RelayFixture {
   RelayFixture()
-      : scene{io,
-              [this] {
-                return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - started);
-              },
-              [this](Event event) { history.push_back(std::move(event)); }} {}
+      : context{io,
+                [this] {
+                  return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - started);
+                },
+                [this](Event event) { history.push_back(std::move(event)); }} {}
   void run_until(const std::function<bool()>& condition) {
     const auto limit = std::chrono::steady_clock::now() + seconds{10};
     while (!condition() && std::chrono::steady_clock::now() < limit) io.run_one_for(milliseconds{10});
@@ -39,7 +39,7 @@
   asio::io_context io{1};
   std::chrono::steady_clock::time_point started = std::chrono::steady_clock::now();
   History history;
-  Scene scene;
+  RunContext context;
   RelayCounts counts;
 };
 
@@ -53,14 +53,14 @@
 struct TestConnection {
   TestConnection(RelayFixture& fixture, const Schedule& schedule)
       : acceptor(fixture.io, tcp::endpoint(kLoopback, 0)),
-        relay(fixture.scene, schedule, "n0", "s0", acceptor.local_endpoint(), fixture.counts),
+        relay(fixture.context, schedule, "n0", "s0", acceptor.local_endpoint(), fixture.counts),
         client(fixture.io),
         server(fixture.io) {
     acceptor.async_accept(server, [this](const asio::error_code& error) {
       if (!error) read(server, server_received, server_end);
       is_accepted = !error;
     });
-    client.connect(relay.where());
+    client.connect(relay.listen_endpoint());
     read(client, client_received, client_end);
   }
   static void read(tcp::socket& from, std::string& to, asio::error_code& end) {
@@ -162,13 +162,13 @@
     TestConnection connection(fixture, one_fault(LinkFaultKind::kPartition, milliseconds{300}));
     asio::write(connection.client, asio::buffer("late", 4));
     fixture.run_until([&] { return connection.server_received == "late"; });
-    CHECK(fixture.scene.now() >= milliseconds{300});
+    CHECK(fixture.context.now() >= milliseconds{300});
   }
   SUBCASE("stall: the sender is blocked, and all bytes arrive after the end of the stall") {
     RelayFixture fixture;
     TestConnection connection(fixture, {});
     fixture.run_until([&] { return connection.is_accepted; });
-    connection.relay.set_schedule(one_fault(LinkFaultKind::kStall, fixture.scene.now() + milliseconds{300}),
+    connection.relay.set_schedule(one_fault(LinkFaultKind::kStall, fixture.context.now() + milliseconds{300}),
                                   "n0", "s0");
     const std::string payload(4 * 1024 * 1024, 'x');
     std::size_t written = 0;
@@ -177,7 +177,7 @@
     fixture.run_until([&] { return fixture.counts.chunks_held == 1; });
     CHECK(written == 0);
     fixture.run_until([&] { return connection.server_received.size() == payload.size(); });
-    CHECK(fixture.scene.now() >= milliseconds{300});
+    CHECK(fixture.context.now() >= milliseconds{300});
     CHECK(fixture.counts.chunks_held == 1);
   }
   SUBCASE("delay") {
@@ -185,10 +185,10 @@
     TestConnection connection(fixture, {});
     fixture.run_until([&] { return connection.is_accepted; });
     connection.relay.set_schedule(one_fault(LinkFaultKind::kDelay, seconds{60}), "n0", "s0");
-    const Duration from = fixture.scene.now();
+    const Duration from = fixture.context.now();
     asio::write(connection.client, asio::buffer("late", 4));
     fixture.run_until([&] { return connection.server_received == "late"; });
-    CHECK(fixture.scene.now() - from >= milliseconds{20});
+    CHECK(fixture.context.now() - from >= milliseconds{20});
   }
 }
 
@@ -200,7 +200,7 @@
   schedule.links.push_back({LinkFaultKind::kDuplicate, {"n1"}, {"n2"}, false, {}, seconds{60}, 1, {}, {}});
   schedule.links.push_back({LinkFaultKind::kPartition, {"n2"}, {"n0"}, false, {}, seconds{60}, 1, {}, {}});
   const std::vector<std::string> names = {"n0", "n1", "n2"};
-  DatagramRelay relay(fixture.scene, schedule, names, fixture.counts);
+  DatagramRelay relay(fixture.context, schedule, names, fixture.counts);
   std::vector<udp::socket> nodes;
   std::vector<std::map<std::uint16_t, int>> received_counts(3);  // by port of the sender
   for (std::size_t i = 0; i < 3; ++i) {
@@ -244,10 +244,10 @@
 
 TEST_CASE("the lab records when it is late itself") {
   RelayFixture fixture;
-  LatenessMonitor monitor(fixture.scene, milliseconds{30});
-  fixture.run_until([&] { return fixture.scene.now() > milliseconds{25}; });
-  const auto busy_until = fixture.scene.now() + milliseconds{120};
-  while (fixture.scene.now() < busy_until) {
+  LatenessMonitor monitor(fixture.context, milliseconds{30});
+  fixture.run_until([&] { return fixture.context.now() > milliseconds{25}; });
+  const auto busy_until = fixture.context.now() + milliseconds{120};
+  while (fixture.context.now() < busy_until) {
   }
   fixture.run_until([&] { return !fixture.history.empty(); });
   CHECK(fixture.history[0].kind == EventKind::kLate);
--- a/tests/fleet_rig_test.cpp
+++ b/tests/fleet_rig_test.cpp
@@ -204,15 +204,15 @@
     std::vector<Event> more;
     int rule;
   } rows[] = {
-      {"a second final answer", {event(50, "c0", EventKind::kRefused, "n0")}, 0},
+      {"a second final answer", {event(50, "c0", EventKind::kRejected, "n0")}, 0},
       {"no answer", {event(100, "c0", EventKind::kSetUp, "n0", 500, "", "b2")}, 0},
       {"an answer 51 ms late",
        {event(100, "c0", EventKind::kSetUp, "n0", 500, "", "b2"),
-        event(651, "c0", EventKind::kRefused, "n0", 0, "", "b2")},
+        event(651, "c0", EventKind::kRejected, "n0", 0, "", "b2")},
        0},
       {"an answer in time thanks to the tolerance",
        {event(100, "c0", EventKind::kSetUp, "n0", 500, "", "b2"),
-        event(650, "c0", EventKind::kRefused, "n0", 0, "", "b2")},
+        event(650, "c0", EventKind::kRejected, "n0", 0, "", "b2")},
        -1},
       {"a connection that closed before the answer",
        {event(100, "c0", EventKind::kSetUp, "n0", 500, "", "b2"),
--- a/tests/fleet_stand_ins_test.cpp
+++ b/tests/fleet_stand_ins_test.cpp
@@ -69,11 +69,11 @@
 
   net::Loop loop;
   History history;
-  Scene scene{loop.io, [] { return net::Loop::now().time_since_epoch(); },
-              [this](Event event) { history.push_back(std::move(event)); }};
+  RunContext context{loop.io, [] { return net::Loop::now().time_since_epoch(); },
+                     [this](Event event) { history.push_back(std::move(event)); }};
   std::list<RouterConnection> connections;
   SipServer server{
-      loop, scene, "s0", {.mean_answer_time = milliseconds{1}, .mean_call_time = kHoldingTime}, 1};
+      loop, context, "s0", {.mean_answer_time = milliseconds{1}, .mean_call_time = kHoldingTime}, 1};
 };
 
 }  // namespace
@@ -99,7 +99,7 @@
   for (std::size_t i = 0; i < kConnections; ++i) others.push_back(&fixture.connect(second, "n1"));
 
   REQUIRE(fixture.count(EventKind::kHungUp) == 0);
-  fixture.loop.wheel.advance(net::Loop::now() + 2 * kHoldingTime);
+  fixture.loop.timers.advance(net::Loop::now() + 2 * kHoldingTime);
   REQUIRE(fixture.count(EventKind::kHungUp) == kConnections);
 
   const auto& next = fixture.connect(first, "n0");
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 using testing::Bytes;
-using testing::Frame;
-using testing::settings_keys;
+using testing::default_setting_values;
+using testing::FrameBuilder;
 using testing::settings_text;
 
-Bytes answer(Host& host, const Frame& frame, std::uint64_t now = 1000) {
+Bytes answer(Host& host, const FrameBuilder& frame, std::uint64_t now = 1000) {
   return host.answer(decode_header(frame.header(now)), frame.body());
 }
 
@@ -52,15 +52,23 @@
 
 TEST(Host, EmptyBatchGetsEmptyReply) {
   Host host;
-  EXPECT_EQ(answer(host, Frame{}), Bytes(8));
+  EXPECT_EQ(answer(host, FrameBuilder{}), Bytes(8));
 }
 
 TEST(Host, InstancesDecideSeparatelyAndRepliesNameThem) {
   Host host;
   const auto text = settings_text();
-  Frame frame;
-  frame.switch_to(3).launch(1, text).define_list(0, {70}).sync(2, 0).ingress(1, 3'000'000);
-  frame.switch_to(8).launch(2, text).define_list(0, {80}).sync(2, 0).ingress(1, 3'000'000);
+  FrameBuilder frame;
+  frame.select_instance(3)
+      .start_instance(1, text)
+      .define_endpoint_list(0, {70})
+      .apply_endpoint_list(2, 0)
+      .new_call(1, 3'000'000);
+  frame.select_instance(8)
+      .start_instance(2, text)
+      .define_endpoint_list(0, {80})
+      .apply_endpoint_list(2, 0)
+      .new_call(1, 3'000'000);
   const auto sent = forwarded_calls(answer(host, frame));
   ASSERT_EQ(sent.size(), 2U);
   EXPECT_EQ(sent[0].node, 3U);
@@ -73,16 +81,22 @@
   const auto text = settings_text();
   const auto reply_alone = [&](std::uint32_t node) {
     Host host;
-    Frame frame;
-    frame.switch_to(node).launch(node, text).define_list(0, {70, 71}).sync(2, 0);
-    for (std::uint32_t id = 0; id < 40; ++id) frame.ingress(id, 3'000'000);
+    FrameBuilder frame;
+    frame.select_instance(node)
+        .start_instance(node, text)
+        .define_endpoint_list(0, {70, 71})
+        .apply_endpoint_list(2, 0);
+    for (std::uint32_t id = 0; id < 40; ++id) frame.new_call(id, 3'000'000);
     return answer(host, frame);
   };
   Host host;
-  Frame both_instances;
+  FrameBuilder both_instances;
   for (const std::uint32_t node : {1U, 2U}) {
-    both_instances.switch_to(node).launch(node, text).define_list(0, {70, 71}).sync(2, 0);
-    for (std::uint32_t id = 0; id < 40; ++id) both_instances.ingress(id, 3'000'000);
+    both_instances.select_instance(node)
+        .start_instance(node, text)
+        .define_endpoint_list(0, {70, 71})
+        .apply_endpoint_list(2, 0);
+    for (std::uint32_t id = 0; id < 40; ++id) both_instances.new_call(id, 3'000'000);
   }
   const auto shared_records = forwarded_calls(answer(host, both_instances));
   auto separate_records = forwarded_calls(reply_alone(1));
@@ -98,21 +112,25 @@
 TEST(Host, RestartDropsAllState) {
   Host host;
   const auto text = settings_text();
-  Frame first;
-  first.switch_to(1).launch(1, text).define_list(0, {70}).sync(2, 0);
-  for (std::uint32_t id = 0; id < 20; ++id) first.ingress(id, 3'000'000);
+  FrameBuilder first;
+  first.select_instance(1).start_instance(1, text).define_endpoint_list(0, {70}).apply_endpoint_list(2, 0);
+  for (std::uint32_t id = 0; id < 20; ++id) first.new_call(id, 3'000'000);
   const auto before = forwarded_calls(answer(host, first)).size();
-  Frame after_restart;
-  after_restart.switch_to(1).record({10}).launch(2, text).define_list(0, {70}).sync(2, 0);
-  for (std::uint32_t id = 100; id < 120; ++id) after_restart.ingress(id, 3'000'000);
+  FrameBuilder after_restart;
+  after_restart.select_instance(1)
+      .record({10})
+      .start_instance(2, text)
+      .define_endpoint_list(0, {70})
+      .apply_endpoint_list(2, 0);
+  for (std::uint32_t id = 100; id < 120; ++id) after_restart.new_call(id, 3'000'000);
   EXPECT_EQ(forwarded_calls(answer(host, after_restart, 2000)).size(), before);
 }
 
 TEST(Host, MissingSettingIsReportedAsPanicWithItsKey) {
   Host host;
-  auto keys = settings_keys();
+  auto keys = default_setting_values();
   keys.erase("limits.most_tries");
-  const auto reply = answer(host, Frame{}.switch_to(1).launch(1, settings_text(keys)));
+  const auto reply = answer(host, FrameBuilder{}.select_instance(1).start_instance(1, settings_text(keys)));
   const auto found = records(reply);
   ASSERT_EQ(found.size(), 1U);
   EXPECT_EQ(found[0].code, 10);
@@ -121,11 +139,14 @@
 
 TEST(Host, ExceptionInModuleIsReportedAsPanicWithItsMessage) {
   Host host;
-  Frame frame;
-  frame.switch_to(1).launch(1, settings_text()).define_list(0, {70}).sync(2, 0);
+  FrameBuilder frame;
+  frame.select_instance(1)
+      .start_instance(1, settings_text())
+      .define_endpoint_list(0, {70})
+      .apply_endpoint_list(2, 0);
   Bytes call{3};
   call.resize(32);
-  testing::put(call, 200, 1);  // a class that the settings do not have
+  testing::append_little_endian(call, 200, 1);  // a class that the settings do not have
   const auto reply = answer(host, frame.record(call));
   EXPECT_EQ(records(reply).back().code, 10);
   EXPECT_NE(std::string(reply.begin(), reply.end()).find("class"), std::string::npos);
@@ -133,28 +154,34 @@
 
 TEST(Host, RejectsUndefinedEndpointList) {
   Host host;
-  EXPECT_THROW(answer(host, Frame{}.switch_to(1).launch(1, settings_text()).sync(1, 5)), WireError);
+  EXPECT_THROW(
+      answer(host,
+             FrameBuilder{}.select_instance(1).start_instance(1, settings_text()).apply_endpoint_list(1, 5)),
+      WireError);
 }
 
 TEST(Host, IgnoresEventsForInstanceThatIsNotRunning) {
   Host host;
-  EXPECT_EQ(answer(host, Frame{}.switch_to(1).ingress(1, 1000)), Bytes(8));
+  EXPECT_EQ(answer(host, FrameBuilder{}.select_instance(1).new_call(1, 1000)), Bytes(8));
 }
 
 TEST(Host, LoadReportSetsTheWaitOfTheServer) {
   Host host;
-  Frame frame;
-  frame.switch_to(1).launch(1, settings_text()).define_list(0, {70}).sync(2, 0);
+  FrameBuilder frame;
+  frame.select_instance(1)
+      .start_instance(1, settings_text())
+      .define_endpoint_list(0, {70})
+      .apply_endpoint_list(2, 0);
   Bytes ended{5};
-  testing::put(ended, 99, 4);
-  testing::put(ended, 0, 1);
-  testing::put(ended, 70, 4);
+  testing::append_little_endian(ended, 99, 4);
+  testing::append_little_endian(ended, 0, 1);
+  testing::append_little_endian(ended, 70, 4);
   ended.resize(21);
-  testing::put(ended, 3, 1);
-  testing::put(ended, 0x447a0000, 4);  // 1000 free lines
-  testing::put(ended, 0x447a0000, 4);
-  testing::put(ended, 0x453b8000, 4);  // a wait of 3000 ms
-  frame.record(ended).ingress(1, 3'000'000);
+  testing::append_little_endian(ended, 3, 1);
+  testing::append_little_endian(ended, 0x447a0000, 4);  // 1000 free lines
+  testing::append_little_endian(ended, 0x447a0000, 4);
+  testing::append_little_endian(ended, 0x453b8000, 4);  // a wait of 3000 ms
+  frame.record(ended).new_call(1, 3'000'000);
   EXPECT_TRUE(forwarded_calls(answer(host, frame)).empty());
 }
 
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -49,14 +49,14 @@
   return std::get<hot_restart::InstanceLock>(std::move(acquired));
 }
 
-/// A second router at the address of the bench's router, and the folder that both share. It stands for the
+/// A second router at the address of the fixture's router, and the folder that both share. It stands for the
 /// process that replaces the first one.
 struct Replacement {
-  explicit Replacement(Bench& bench) : listen(bench.router->callers_at()) {
-    bench.router->join_hot_restart(folder.path);
-    auto config = bench.config;
+  explicit Replacement(RouterFixture& fixture) : listen(fixture.router->callers_endpoint()) {
+    fixture.router->join_hot_restart(folder.path);
+    auto config = fixture.config;
     config.listen = listen;
-    next = std::make_unique<app::Router>(bench.loop, config);
+    next = std::make_unique<app::Router>(fixture.loop, config);
     next->join_hot_restart(folder.path);
   }
   asio::ip::tcp::endpoint listen;
@@ -214,31 +214,31 @@
 
 TEST_CASE(
     "a replaced router accepts no connections, answers its calls and closes connections without calls") {
-  Bench bench;
-  bench.list();
-  auto idle = bench.connect(bench.router->callers_at());
+  RouterFixture fixture;
+  fixture.announce_server();
+  auto idle = fixture.connect(fixture.router->callers_endpoint());
   idle->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kCallB + "\",\"attrs\":{},\"code\":0}\n");
-  bench.until([&] { return idle->has("\"probed\""); });
-  bench.standing(kCallB);
-  bench.open(kCallA);
-  auto& server = bench.invited(kCallA);
-  const Replacement replacement(bench);
+  fixture.run_until([&] { return idle->has_received("\"probed\""); });
+  fixture.establish_call(kCallB);
+  fixture.send_set_up(kCallA);
+  auto& server = fixture.wait_for_invite(kCallA);
+  const Replacement replacement(fixture);
   bool has_exited = false;
-  bench.router->shut_down([&] { has_exited = true; });
-  CHECK(bench.router->callers_at() == replacement.listen);
+  fixture.router->shut_down([&] { has_exited = true; });
+  CHECK(fixture.router->callers_endpoint() == replacement.listen);
   // Every new connection must reach the new process. If both processes listened, half of them would not.
-  std::vector<std::unique_ptr<End>> callers;
+  std::vector<std::unique_ptr<TestConnection>> callers;
   for (int i = 0; i < 16; ++i) {
-    callers.push_back(bench.connect(replacement.listen));
+    callers.push_back(fixture.connect(replacement.listen));
     callers.back()->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":0}\n");
   }
-  bench.until([&] { return replacement.next->callers() == 16; });
-  bench.until([&] { return idle->closed; });
-  CHECK_FALSE(bench.caller->closed);  // a set-up on it is unanswered
-  bench.answer(server, kCallA);
-  bench.until([&] { return bench.caller->closed; });  // although two calls from it are established
-  CHECK(bench.caller->has("\"ready\",\"sid\":\"" + kCallA));
-  CHECK(bench.router->callers() == 0);
+  fixture.run_until([&] { return replacement.next->caller_connections() == 16; });
+  fixture.run_until([&] { return idle->closed; });
+  CHECK_FALSE(fixture.caller->closed);  // a set-up on it is unanswered
+  fixture.answer(server, kCallA);
+  fixture.run_until([&] { return fixture.caller->closed; });  // although two calls from it are established
+  CHECK(fixture.caller->has_received("\"ready\",\"sid\":\"" + kCallA));
+  CHECK(fixture.router->caller_connections() == 0);
   CHECK_FALSE(has_exited);
   // The server ends a call at the old process. Its caller has moved to the new process, which delivers the
   // release once.
@@ -248,125 +248,132 @@
         callers.begin(), callers.end(), std::size_t{0},
         [&](std::size_t sum, const auto& caller) { return sum + caller->count(release_message); });
   };
-  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
-  bench.until([&] { return count() == 1; });
+  server.stream->send(
+      RouterFixture::sip_message("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  fixture.run_until([&] { return count() == 1; });
   CHECK_FALSE(has_exited);
   // Calls that are still established at the exit are released too, and delivered after the exit.
-  bench.until([&] { return has_exited; });
-  bench.until([&] {
-    return std::any_of(callers.begin(), callers.end(),
-                       [](const auto& caller) { return caller->has("\"close\",\"sid\":\"" + kCallB); });
+  fixture.run_until([&] { return has_exited; });
+  fixture.run_until([&] {
+    return std::any_of(callers.begin(), callers.end(), [](const auto& caller) {
+      return caller->has_received("\"close\",\"sid\":\"" + kCallB);
+    });
   });
   CHECK(count() == 1);
 }
 
 TEST_CASE("a release that waits for its caller to reconnect is delivered by the replacement process") {
-  Bench bench;
-  bench.list();
-  auto& server = bench.standing(kCallA);
-  bench.caller->stream->close();
-  bench.until([&] { return bench.router->callers() == 0; });
-  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
-  bench.until([&] { return bench.router->table().established() == 0; });
-  const Replacement replacement(bench);
-  bench.router->shut_down([] {});
-  bench.caller = bench.connect(replacement.listen);
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
-  CHECK(replacement.next->callers() == 1);
+  RouterFixture fixture;
+  fixture.announce_server();
+  auto& server = fixture.establish_call(kCallA);
+  fixture.caller->stream->close();
+  fixture.run_until([&] { return fixture.router->caller_connections() == 0; });
+  server.stream->send(
+      RouterFixture::sip_message("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  fixture.run_until([&] { return fixture.router->table().established() == 0; });
+  const Replacement replacement(fixture);
+  fixture.router->shut_down([] {});
+  fixture.caller = fixture.connect(replacement.listen);
+  fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallA); });
+  CHECK(replacement.next->caller_connections() == 1);
 }
 
 TEST_CASE("releases that a full disk prevents from being stored are kept and stored once there is room") {
-  Bench bench;
-  bench.list();
-  auto& server = bench.standing(kCallA);
-  const Replacement replacement(bench);
-  bench.router->shut_down([] {});
-  bench.until([&] { return bench.caller->closed; });
-  bench.caller = bench.connect(replacement.listen);
-  bench.settle();
+  RouterFixture fixture;
+  fixture.announce_server();
+  auto& server = fixture.establish_call(kCallA);
+  const Replacement replacement(fixture);
+  fixture.router->shut_down([] {});
+  fixture.run_until([&] { return fixture.caller->closed; });
+  fixture.caller = fixture.connect(replacement.listen);
+  fixture.wait_for_messages_in_transit();
   // With a file size limit of 0, storing releases fails as on a full disk.
   const auto previous_handler = std::signal(SIGXFSZ, SIG_IGN);
   rlimit previous_limit{};
   REQUIRE(::getrlimit(RLIMIT_FSIZE, &previous_limit) == 0);
   const rlimit no_bytes{0, previous_limit.rlim_max};
   REQUIRE(::setrlimit(RLIMIT_FSIZE, &no_bytes) == 0);
-  server.stream->send(Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
-  bench.until([&] { return bench.router->table().established() == 0; });
+  server.stream->send(
+      RouterFixture::sip_message("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  fixture.run_until([&] { return fixture.router->table().established() == 0; });
   std::size_t checks = 0;  // the router tries again every 20 ms
   const auto count_checks = [&](auto&& self) -> void {
-    if (++checks < 3) bench.loop.after(milliseconds{20}, [&self] { self(self); });
+    if (++checks < 3) fixture.loop.run_after(milliseconds{20}, [&self] { self(self); });
   };
   count_checks(count_checks);
-  bench.until([&] { return checks == 3; });
-  CHECK_FALSE(bench.caller->has("\"close\""));
+  fixture.run_until([&] { return checks == 3; });
+  CHECK_FALSE(fixture.caller->has_received("\"close\""));
   REQUIRE(::setrlimit(RLIMIT_FSIZE, &previous_limit) == 0);
   std::signal(SIGXFSZ, previous_handler);
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
+  fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallA); });
 }
 
 TEST_CASE(
     "a replacement that dies before SIGTERM leaves a normal shutdown, one that dies later loses no release") {
   for (const bool dies_before_sigterm : {true, false}) {
-    Bench bench;
-    bench.list();
-    auto& server = bench.standing(kCallA);
+    RouterFixture fixture;
+    fixture.announce_server();
+    auto& server = fixture.establish_call(kCallA);
     const TemporaryFolder folder;
-    bench.router->join_hot_restart(folder.path);
-    auto config = bench.config;
-    config.listen = bench.router->callers_at();
+    fixture.router->join_hot_restart(folder.path);
+    auto config = fixture.config;
+    config.listen = fixture.router->callers_endpoint();
     // The record of the new process. After a kill its file remains, but the lock is released.
-    const InstanceRecord successor{"n0", net::text_of(config.listen), Loop::unix_us() + 1};
+    const InstanceRecord successor{"n0", net::to_text(config.listen), Loop::unix_us() + 1};
     std::optional<hot_restart::InstanceLock> next;
     if (dies_before_sigterm) {
       std::ofstream(folder.path + "/amberknot-serving-dead00") << hot_restart::serialize(successor);
     } else {
       next.emplace(acquire(folder, successor));
     }
-    bench.router->shut_down([] {});
+    fixture.router->shut_down([] {});
     next.reset();
-    const auto bye = Bench::sip("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n");
+    const auto bye =
+        RouterFixture::sip_message("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n");
     if (dies_before_sigterm) {
       // The old process keeps serving: it accepts a new connection and delivers the release of its call.
-      auto late_caller = bench.connect(config.listen);
+      auto late_caller = fixture.connect(config.listen);
       late_caller->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kCallB + "\",\"attrs\":{},\"code\":0}\n");
-      bench.until([&] { return late_caller->has("\"probed\""); });
-      CHECK_FALSE(bench.caller->closed);
+      fixture.run_until([&] { return late_caller->has_received("\"probed\""); });
+      CHECK_FALSE(fixture.caller->closed);
       server.stream->send(bye);
-      bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
+      fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallA); });
       continue;
     }
-    bench.until([&] { return bench.caller->closed; });
+    fixture.run_until([&] { return fixture.caller->closed; });
     server.stream->send(bye);
-    bench.until([&] {
+    fixture.run_until([&] {
       return folder.file_count() == 2;
     });  // the instance record and the stored release of the old process
-    app::Router third(bench.loop, config);
+    app::Router third(fixture.loop, config);
     third.join_hot_restart(folder.path);
-    bench.caller = bench.connect(config.listen);
-    bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kCallA); });
+    fixture.caller = fixture.connect(config.listen);
+    fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallA); });
   }
 }
 
 TEST_CASE("a replaced router accepts the connections in its listen queue before it closes the listener") {
-  Bench bench;
-  std::vector<std::unique_ptr<End>> callers;
-  for (int i = 0; i < 8; ++i) callers.push_back(bench.connect(bench.router->callers_at()));
+  RouterFixture fixture;
+  std::vector<std::unique_ptr<TestConnection>> callers;
+  for (int i = 0; i < 8; ++i) callers.push_back(fixture.connect(fixture.router->callers_endpoint()));
   // Established by the kernel, but not yet accepted: the router's loop has not run since.
-  asio::ip::tcp::socket queued_socket(bench.loop.io);
-  queued_socket.connect(bench.router->callers_at());
+  asio::ip::tcp::socket queued_socket(fixture.loop.io);
+  queued_socket.connect(fixture.router->callers_endpoint());
   const TemporaryFolder folder;
-  bench.router->join_hot_restart(folder.path);
-  const auto next = acquire(folder, {"n0", net::text_of(bench.router->callers_at()), Loop::unix_us() + 1});
-  bench.router->shut_down([] {});
-  const std::string probe = "{\"msg\":\"probe\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":0}\n";
-  asio::write(queued_socket, asio::buffer(probe));
-  for (auto& caller : callers) caller->stream->send(probe);
-  bench.until([&] {
+  fixture.router->join_hot_restart(folder.path);
+  const auto next =
+      acquire(folder, {"n0", net::to_text(fixture.router->callers_endpoint()), Loop::unix_us() + 1});
+  fixture.router->shut_down([] {});
+  const std::string health_check_line =
+      "{\"msg\":\"probe\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":0}\n";
+  asio::write(queued_socket, asio::buffer(health_check_line));
+  for (auto& caller : callers) caller->stream->send(health_check_line);
+  fixture.run_until([&] {
     return std::all_of(callers.begin(), callers.end(),
-                       [](const auto& caller) { return caller->has("\"probed\""); });
+                       [](const auto& caller) { return caller->has_received("\"probed\""); });
   });
   std::array<char, 8> reply{};
-  bench.until([&] { return queued_socket.available() >= reply.size(); });
+  fixture.run_until([&] { return queued_socket.available() >= reply.size(); });
   CHECK(asio::read(queued_socket, asio::buffer(reply)) == reply.size());
 }
 
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -107,7 +107,7 @@
 
 TEST_CASE("a written set-up conforms to its schema and reads back unchanged") {
   BodyReader reader;
-  const auto& fields = translate::find_dialect("session-2")->of(translate::Kind::kSetUp);
+  const auto& fields = translate::find_dialect("session-2")->of(translate::MessageKind::kSetUp);
   translate::Record record, read_back;
   record.set(translate::index_of(fields, "id"), std::string_view("00112233445566aa"));
   record.set(translate::index_of(fields, "class"), std::string_view("card-activate"));
@@ -124,7 +124,7 @@
   for (std::size_t i = 0; i < fields.size(); ++i) {
     REQUIRE(read_back.has(i) == record.has(i));
     if (!record.has(i)) continue;
-    if (translate::is_textual(fields[i].type)) {
+    if (translate::is_text(fields[i].type)) {
       CHECK(read_back.text(i) == record.text(i));
     } else {
       CHECK(read_back.number(i) == record.number(i));
@@ -459,6 +459,6 @@
   connection->connect(silent_server.local_endpoint());
   const Instant deadline = net::Loop::now() + std::chrono::seconds{5};
   while (!recorder.down_reason && net::Loop::now() < deadline) loop.io.run_one_for(milliseconds{10});
-  CHECK(recorder.down_reason == net::CloseReason::kNeverUp);
+  CHECK(recorder.down_reason == net::CloseReason::kConnectFailed);
   CHECK(recorder.up_count == 0);
 }
--- a/tests/iso8583_test.cpp
+++ b/tests/iso8583_test.cpp
@@ -105,15 +105,15 @@
   using State = Frame::State;
   const std::string frame = std::string("\x00\x03", 2) + "abc";
   for (std::size_t i = 0; i < frame.size(); ++i)
-    CHECK(read_frame(frame.substr(0, i), 100).state == State::kMore);
+    CHECK(read_frame(frame.substr(0, i), 100).state == State::kIncomplete);
   const std::string more = frame + "rest";
   const auto whole = read_frame(more, 100);
-  CHECK(whole.state == State::kWhole);
+  CHECK(whole.state == State::kComplete);
   CHECK(whole.body == "abc");
   CHECK(whole.size == 5);
-  CHECK(read_frame(std::string("\x00\x00", 2), 100).state == State::kWhole);
-  CHECK(read_frame(std::string("\x00\x65", 2), 100).state == State::kBad);
-  CHECK(read_frame("GET / HTTP/1.1", 16 * 1024).state == State::kBad);
+  CHECK(read_frame(std::string("\x00\x00", 2), 100).state == State::kComplete);
+  CHECK(read_frame(std::string("\x00\x65", 2), 100).state == State::kTooLong);
+  CHECK(read_frame("GET / HTTP/1.1", 16 * 1024).state == State::kTooLong);
 }
 
 TEST_CASE("elements are padded, and a message with an invalid element is not written") {
@@ -163,8 +163,8 @@
   CHECK(rc::check("round trip", [] {
     Message message;
     message.mti = *rc::gen::element(kAuthorization, kFinancial, kReversal, kReversalAdvice, kNetwork);
-    std::vector<std::string> texts(kElements + 1);
-    for (std::size_t number = 2; number <= kElements; ++number) {
+    std::vector<std::string> texts(kElementCount + 1);
+    for (std::size_t number = 2; number <= kElementCount; ++number) {
       const auto& format = element(number);
       if (format.kind == Element::Kind::kNone || *rc::gen::inRange(0, 8) != 0) continue;
       const bool has_fixed_length = format.length_digits == 0;
@@ -178,11 +178,11 @@
     const auto frame = write(message);
     RC_ASSERT((!frame.empty()));
     const auto read_back = read_frame(frame, 0xffff);
-    RC_ASSERT((read_back.state == Frame::State::kWhole));
+    RC_ASSERT((read_back.state == Frame::State::kComplete));
     RC_ASSERT((read_back.size == frame.size()));
     Message decoded;
     RC_ASSERT((!read(read_back.body, decoded).has_value()));
-    for (std::size_t number = 2; number <= kElements; ++number) {
+    for (std::size_t number = 2; number <= kElementCount; ++number) {
       RC_ASSERT((decoded.has(number) == message.has(number)));
       RC_ASSERT((decoded.text(number) == message.text(number)));
     }
--- a/tests/net_parse_test.cpp
+++ b/tests/net_parse_test.cpp
@@ -19,14 +19,14 @@
 using namespace amberknot::jsonl;
 using namespace amberknot::sip;
 using amberknot::settings::SseEvent;
-using amberknot::settings::SseReader;
+using amberknot::settings::SseParser;
 
 TEST_CASE("a text with a lone surrogate counts as missing") {
   JsonLineReader reader;
   const auto has_text = [&](std::string line) {
-    line.append(settings::kJsonPad, '\0');
-    const auto read = reader.read({line.data(), line.size() - settings::kJsonPad},
-                                  line.data() + line.size() - settings::kJsonPad);
+    line.append(settings::kJsonPaddingBytes, '\0');
+    const auto read = reader.read({line.data(), line.size() - settings::kJsonPaddingBytes},
+                                  line.data() + line.size() - settings::kJsonPaddingBytes);
     REQUIRE(read);
     return read->has_text;
   };
@@ -46,7 +46,7 @@
       {R"({"msg":"open","sid":"9b1f03aa5c7e2d41","attrs":{"left":"15"},"text":"a\r\nb"})", true, Type::kOpen},
       {R"({"msg":"open","sid":"9b1f03aa5c7e2d41","attrs":{"left":15}})", true, Type::kOpen},
       {R"({"msg":"close","sid":"9B1F03AA5C7E2D41","attrs":{},"code":16})", true, Type::kClose},
-      {R"({"msg":"probe","sid":"x","attrs":{},"code":0})", true, Type::kProbe},
+      {R"({"msg":"probe","sid":"x","attrs":{},"code":0})", true, Type::kHealthCheck},
       {R"({"msg":"closed","sid":"9b1f03aa5c7e2d41"})", true, Type::kOther},
       {R"({"msg":"open","sid":"9b1f03aa5c7e2d4"})", false, Type::kOther},
       {R"({"msg":"open","sid":"9b1f03aa5c7e2d4\r"})", false, Type::kOther},
@@ -118,7 +118,7 @@
 }
 
 TEST_CASE("a SIP message is parsed, incomplete or rejected") {
-  using State = SipRead::State;
+  using State = SipParseResult::State;
   struct Case {
     const char* text;
     State state;
@@ -126,33 +126,34 @@
     const char* method;
   };
   const Case cases[] = {
-      {"SIP/2.0 200 OK\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\nContent-Length: 2\r\n\r\nhi", State::kWhole, 200,
+      {"SIP/2.0 200 OK\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\nContent-Length: 2\r\n\r\nhi", State::kComplete, 200,
        "INVITE"},
-      {"SIP/2.0 503 X\r\ni: a\r\ncseq: 2 INVITE\r\nl: 0\r\n\r\n", State::kWhole, 503, "INVITE"},
+      {"SIP/2.0 503 X\r\ni: a\r\ncseq: 2 INVITE\r\nl: 0\r\n\r\n", State::kComplete, 503, "INVITE"},
       {"\r\n\r\nBYE sip:7@net SIP/2.0\r\nCall-ID: a\r\nReason: Q.850\r\n ;cause=16\r\nContent-Length: "
        "0\r\n\r\n",
-       State::kWhole, 0, "BYE"},
-      {"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\nContent-Length: 2\r\n\r\nh", State::kMore, 200, "INVITE"},
-      {"SIP/2.0 200 OK\r\nCSeq: 1 INV", State::kMore, 0, ""},
-      {"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\n\r\n", State::kBad, 200, ""},
-      {"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\nContent-Length: -1\r\n\r\n", State::kBad, 200, ""},
-      {"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\nContent-Length: 99999\r\n\r\n", State::kBad, 200, ""},
-      {"SIP/2.0 200 OK\r\nl: 1\r\nl: 2\r\nCSeq: 1 INVITE\r\n\r\nab", State::kBad, 200, ""},
-      {"SIP/2.0 abc\r\nContent-Length: 0\r\n\r\n", State::kBad, 0, ""},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", State::kBad, 0, ""},
-      {"BYE sip:7@net SIP/2.0\r\nno colon\r\nContent-Length: 0\r\n\r\n", State::kBad, 0, "BYE"},
+       State::kComplete, 0, "BYE"},
+      {"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\nContent-Length: 2\r\n\r\nh", State::kIncomplete, 200, "INVITE"},
+      {"SIP/2.0 200 OK\r\nCSeq: 1 INV", State::kIncomplete, 0, ""},
+      {"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\n\r\n", State::kMalformed, 200, ""},
+      {"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\nContent-Length: -1\r\n\r\n", State::kMalformed, 200, ""},
+      {"SIP/2.0 200 OK\r\nCSeq: 1 INVITE\r\nContent-Length: 99999\r\n\r\n", State::kMalformed, 200, ""},
+      {"SIP/2.0 200 OK\r\nl: 1\r\nl: 2\r\nCSeq: 1 INVITE\r\n\r\nab", State::kMalformed, 200, ""},
+      {"SIP/2.0 abc\r\nContent-Length: 0\r\n\r\n", State::kMalformed, 0, ""},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", State::kMalformed, 0, ""},
+      {"BYE sip:7@net SIP/2.0\r\nno colon\r\nContent-Length: 0\r\n\r\n", State::kMalformed, 0, "BYE"},
   };
   for (const auto& one : cases) {
     CAPTURE(one.text);
-    const auto read = read_sip(one.text, net::kMaxMessage);
+    const auto read = parse_sip_message(one.text, net::kMaxMessageBytes);
     CHECK(read.state == one.state);
     CHECK(read.head.status == one.status);
-    if (one.state == State::kWhole) {
+    if (one.state == State::kComplete) {
       CHECK(read.head.method == one.method);
       CHECK(read.size() == std::string(one.text).size());
     }
   }
-  CHECK(read_sip(std::string(net::kMaxMessage + 1, 'a'), net::kMaxMessage).state == State::kBad);
+  CHECK(parse_sip_message(std::string(net::kMaxMessageBytes + 1, 'a'), net::kMaxMessageBytes).state ==
+        State::kMalformed);
 }
 
 TEST_CASE("X-Lag is parsed only from a full processor and as a positive whole number") {
@@ -177,10 +178,10 @@
     CAPTURE(one.lag);
     CHECK(parse_retry_after(one.diagnosis, one.lag) == one.wait);
   }
-  const auto read = read_sip(
+  const auto read = parse_sip_message(
       "SIP/2.0 503 Full\r\nCall-ID: a\r\nCSeq: 1 INVITE\r\nX-Diagnosis: acc\r\nx-lag: 1700\r\n"
       "Content-Length: 0\r\n\r\n",
-      net::kMaxMessage);
+      net::kMaxMessageBytes);
   CHECK(read.head.lag == "1700");
 }
 
@@ -191,17 +192,17 @@
   CHECK_FALSE(parse_q850_cause(""));
   const auto report = parse_load_report("idle:12;circuits:40;lat_ms:2.5;max_rate:-1;odd;x:y");
   CHECK(report.free_lines == 12.0);
-  CHECK(report.lines == 40.0);
-  CHECK(report.wait == std::chrono::microseconds{2500});
+  CHECK(report.total_lines == 40.0);
+  CHECK(report.queue_delay == std::chrono::microseconds{2500});
   CHECK_FALSE(report.accept_rate);
-  CHECK(parse_load_report("x0:1;queue:3").waiting == 3.0);
+  CHECK(parse_load_report("x0:1;queue:3").queued == 3.0);
 }
 
 TEST_CASE("server-sent events are parsed at every split and with every line end") {
   const std::string text = ": hi\r\n\r\nid: 4\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\nid:5\ndata:x\n\n";
   for (std::size_t cut = 0; cut <= text.size(); ++cut) {
     CAPTURE(cut);
-    SseReader reader;
+    SseParser reader;
     std::vector<SseEvent> events;
     const auto keep = [&](const SseEvent& event) { events.push_back(event); };
     CHECK(reader.feed(text.substr(0, cut), keep));
@@ -212,7 +213,7 @@
     CHECK(events[1].id == "5");
     CHECK(events[1].data == "x");
   }
-  SseReader reader;
+  SseParser reader;
   CHECK_FALSE(reader.feed(std::string(2'000'000, 'a'), [](const SseEvent&) {}));
 }
 
@@ -222,13 +223,13 @@
       R"({"name":"a","address":"10.1.0.9:5070","group":2,"status":"draining","since_ms":1700000000123},)"
       R"({"name":"b","address":"x","group":0,"status":"odd"},{"address":"x","status":"ready"}]}})");
   REQUIRE(update);
-  CHECK(update->cursor == 41);
-  CHECK(update->whole_list);
+  CHECK(update->event_number == 41);
+  CHECK(update->is_full_list);
   REQUIRE(update->changes.size() == 1);
   CHECK(update->changes[0].state == EndpointState::kDraining);
   CHECK(update->changes[0].pool == 2);
   CHECK(update->changes[0].started_unix_ms == 1700000000123);
-  CHECK(parse_endpoint_update(R"({"cursor":1})")->has_servers == false);
+  CHECK(parse_endpoint_update(R"({"cursor":1})")->has_endpoint_list == false);
   for (const char* invalid : {"", "{", "[]", R"({"nodes":{}})", R"({"cursor":1,"nodes":{"endpoints":3}})"}) {
     CAPTURE(invalid);
     CHECK_FALSE(parse_endpoint_update(std::string(invalid)));
@@ -298,12 +299,13 @@
   const Instant start{std::chrono::seconds{5}};
   TimerWheel wheel(start);
   std::vector<int> expired;
-  wheel.at(start + std::chrono::milliseconds{12}, [&] { expired.push_back(12); });
+  wheel.schedule_at(start + std::chrono::milliseconds{12}, [&] { expired.push_back(12); });
   // More than one revolution of the wheel.
-  wheel.at(start + std::chrono::seconds{30}, [&] { expired.push_back(30'000); });
-  const auto cancelled = wheel.at(start + std::chrono::milliseconds{12}, [&] { expired.push_back(-1); });
+  wheel.schedule_at(start + std::chrono::seconds{30}, [&] { expired.push_back(30'000); });
+  const auto cancelled =
+      wheel.schedule_at(start + std::chrono::milliseconds{12}, [&] { expired.push_back(-1); });
   // A timer that starts another one.
-  wheel.at(start, [&] { wheel.at(start, [&] { expired.push_back(0); }); });
+  wheel.schedule_at(start, [&] { wheel.schedule_at(start, [&] { expired.push_back(0); }); });
   wheel.cancel(cancelled);
   wheel.advance(start + std::chrono::milliseconds{11});
   CHECK(expired == std::vector<int>{0});
--- a/tests/reload_plan_test.cpp
+++ b/tests/reload_plan_test.cpp
@@ -29,10 +29,10 @@
 
 /// Valid settings as one flat object with the simulator's keys, and the given class deadline (in
 /// microseconds) and maximum number of attempts.
-std::string good_settings(const std::string& deadline = "9000000", const std::string& tries = "3") {
-  auto keys = testing::settings_keys();
+std::string good_settings(const std::string& deadline = "9000000", const std::string& max_attempts = "3") {
+  auto keys = testing::default_setting_values();
   keys["classes.0.deadline_us"] = deadline;
-  keys["limits.most_tries"] = tries;
+  keys["limits.most_tries"] = max_attempts;
   std::string text;
   for (const auto& [key, value] : keys) text += (text.empty() ? "{\"" : ",\"") + key + "\":\"" + value + "\"";
   return text + R"(,"limits":{"connect_timeout_us":"500000"}})";
@@ -57,9 +57,9 @@
     "settings of the other") {
   REQUIRE_NOTHROW(app::read_config(configuration(named_settings("a", "b", "zoo")), "", ""));
   const std::array<std::pair<std::string, const char*>, 4> cases = {{
-      {named_settings("a", "a", "zoo"), "settings: classes.1.name is there twice"},
+      {named_settings("a", "a", "zoo"), "settings: classes.1.name is a duplicate"},
       {named_settings("", "b", "zoo"), "settings: classes.0.name is missing"},
-      {named_settings("a", "b", "acme"), "settings: tenants.1.name is there twice"},
+      {named_settings("a", "b", "acme"), "settings: tenants.1.name is a duplicate"},
       {named_settings("a", "b", ""), "settings: tenants.1.name is missing"},
   }};
   for (const auto& [settings, expected_error] : cases) {
@@ -74,7 +74,7 @@
 }
 
 TEST_CASE("a reload reports every changed setting that requires a restart") {
-  const core::Names names{{"voice"}, {"acme"}};
+  const core::ConfiguredNames names{{"voice"}, {"acme"}};
   Settings current;
   current.classes = {class_of(100)};
   current.peer_count = 5;
@@ -82,21 +82,21 @@
   CHECK(core::plan_reload(names, current, names, updated).requires_restart.empty());
   updated.invariants.retry_pause = milliseconds{200};
   updated.peer_count = 7;
-  updated.over_quota_weight = 0.5;
+  updated.over_quota_weight_factor = 0.5;
   updated.retransmit_interval = milliseconds{400};
   CHECK(core::plan_reload(names, current, {{"voice"}, {"acme", "zoo"}}, updated).requires_restart ==
         std::vector<std::string>{"tenants", "timing", "invariants", "over_share_worth", "siblings"});
 }
 
 TEST_CASE("a reload keeps class indices: removed classes keep theirs, added ones come last") {
-  core::Names names{{"voice", "data"}, {"acme"}};
+  core::ConfiguredNames names{{"voice", "data"}, {"acme"}};
   Settings current;
   current.classes = {class_of(100), class_of(200)};
-  current.limits.max_tries = 4;
-  core::Names updated_names{{"video", "voice"}, {"acme"}};
+  current.limits.max_attempts = 4;
+  core::ConfiguredNames updated_names{{"video", "voice"}, {"acme"}};
   Settings updated;
   updated.classes = {class_of(300), class_of(150)};
-  updated.limits.max_tries = 2;
+  updated.limits.max_attempts = 2;
   auto plan = core::plan_reload(names, current, updated_names, updated);
   CHECK(plan.names.classes == std::vector<std::string>{"voice", "data", "video"});
   CHECK(plan.names.retired == std::vector<bool>{false, true, false});
@@ -104,9 +104,9 @@
   CHECK(plan.classes[0].latency_objective == milliseconds{150});  // from the new settings
   CHECK(plan.classes[1].latency_objective == milliseconds{200});  // kept for calls of this class in progress
   CHECK(plan.classes[2].latency_objective == milliseconds{300});
-  CHECK(plan.limits.max_tries == 2);
-  CHECK(plan.names.class_no("data") == std::nullopt);
-  CHECK(plan.names.class_no("video") == 2);
+  CHECK(plan.limits.max_attempts == 2);
+  CHECK(plan.names.class_index("data") == std::nullopt);
+  CHECK(plan.names.class_index("video") == 2);
   // A removed class that is listed again returns at its old index.
   Settings after_first_reload;
   after_first_reload.classes = plan.classes;
@@ -135,67 +135,70 @@
       InvalidCase{configuration(good_settings("-5")), "classes.0.deadline_us"},
       InvalidCase{configuration(good_settings("9000000", "0")), "limits.most_tries"},
   };
-  Bench bench;
+  RouterFixture fixture;
   for (const auto& invalid_case : cases) {
     CAPTURE(invalid_case.text);
     std::string error_text;
     try {
-      bench.router->reload(app::read_config(invalid_case.text, "", ""));
+      fixture.router->reload(app::read_config(invalid_case.text, "", ""));
     } catch (const app::ConfigError& error) {
       error_text = error.what();
-      bench.router->reload_failed(error_text);
+      fixture.router->on_reload_failed(error_text);
     }
     CHECK(error_text.find(invalid_case.expected_text) != std::string::npos);
   }
-  CHECK(bench.router->counters().reloads_failed == cases.size());
-  CHECK(bench.router->counters().reloads == 0);
+  CHECK(fixture.router->counters().reloads_failed == cases.size());
+  CHECK(fixture.router->counters().reloads == 0);
   // The current settings are unchanged: the class is still served, and a rejected attempt is retried.
-  bench.list();
-  bench.open(kSessionId);
-  bench.invited(kSessionId).stream->send(Bench::sip("SIP/2.0 480 Moot", kSessionId, "1 INVITE"));
-  bench.until([&] { return bench.server.with("Call-ID: " + kSessionId + "\r\nCSeq: 2 INVITE") != nullptr; });
+  fixture.announce_server();
+  fixture.send_set_up(kSessionId);
+  fixture.wait_for_invite(kSessionId)
+      .stream->send(RouterFixture::sip_message("SIP/2.0 480 Moot", kSessionId, "1 INVITE"));
+  fixture.run_until([&] {
+    return fixture.server.find_connection_with("Call-ID: " + kSessionId + "\r\nCSeq: 2 INVITE") != nullptr;
+  });
 }
 
 TEST_CASE(
     "a reload adds and removes classes and lowers the attempt limit; calls in progress keep their class") {
-  Bench bench;
-  bench.list();
-  bench.open(kSessionId);
-  auto& server_end = bench.invited(kSessionId);
-  auto updated = bench.config;
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kSessionId);
+  auto& server_end = fixture.wait_for_invite(kSessionId);
+  auto updated = fixture.config;
   updated.names.classes = {"data", "video"};  // voice is removed, video is added
   updated.settings.classes = {class_of(1200), class_of(1200)};
-  updated.settings.limits.max_tries = 2;
+  updated.settings.limits.max_attempts = 2;
   updated.settings_text = "changed";
-  bench.router->reload(updated);
+  fixture.router->reload(updated);
   // The call of the removed class is answered as before.
-  bench.answer(server_end, kSessionId);
-  bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + kSessionId); });
+  fixture.answer(server_end, kSessionId);
+  fixture.run_until([&] { return fixture.caller->has_received("\"ready\",\"sid\":\"" + kSessionId); });
   // New calls of the removed class are rejected as of an unknown class; those of the new class are forwarded.
-  bench.open("00000000000000b2");
-  bench.until([&] { return bench.caller->has("\"sid\":\"00000000000000b2\""); });
-  CHECK_FALSE(bench.caller->has("\"ready\",\"sid\":\"00000000000000b2\""));
-  bench.say(
+  fixture.send_set_up("00000000000000b2");
+  fixture.run_until([&] { return fixture.caller->has_received("\"sid\":\"00000000000000b2\""); });
+  CHECK_FALSE(fixture.caller->has_received("\"ready\",\"sid\":\"00000000000000b2\""));
+  fixture.send_from_caller(
       R"({"msg":"open","sid":"00000000000000c3","attrs":{"class":"video","left":"2000","tenant":"acme",)"
       R"("key":"77aa","extras":"dest:0;width:1;via:-1"},"text":"d"})"
       "\n");
-  bench.invited("00000000000000c3");
-  CHECK(bench.router->counters().reloads == 1);
+  fixture.wait_for_invite("00000000000000c3");
+  CHECK(fixture.router->counters().reloads == 1);
 }
 
 TEST_CASE("an attempt limit lowered by a reload applies to the next call") {
-  Bench bench;
-  bench.list();
-  auto updated = bench.config;
-  updated.settings.limits.max_tries = 1;
+  RouterFixture fixture;
+  fixture.announce_server();
+  auto updated = fixture.config;
+  updated.settings.limits.max_attempts = 1;
   updated.settings_text = "changed";
-  bench.router->reload(updated);
-  bench.open(kSessionId);
-  auto& server_end = bench.invited(kSessionId);
-  server_end.stream->send(Bench::sip("SIP/2.0 480 Moot", kSessionId, "1 INVITE"));
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kSessionId); });
+  fixture.router->reload(updated);
+  fixture.send_set_up(kSessionId);
+  auto& server_end = fixture.wait_for_invite(kSessionId);
+  server_end.stream->send(RouterFixture::sip_message("SIP/2.0 480 Moot", kSessionId, "1 INVITE"));
+  fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kSessionId); });
   // Only one attempt: no second INVITE, although four attempts were allowed before.
-  CHECK(bench.server.count("Call-ID: " + kSessionId + "\r\nCSeq: 2 INVITE") == 0);
+  CHECK(fixture.server.count("Call-ID: " + kSessionId + "\r\nCSeq: 2 INVITE") == 0);
 }
 
 }  // namespace amberknot::tests
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -31,7 +31,7 @@
   [[nodiscard]] std::string path() const { return folder_ / "config.json"; }
   void write(const std::string& listen, const std::string& channel) const {
     std::string settings;
-    for (const auto& [key, value] : amberknot::testing::settings_keys()) {
+    for (const auto& [key, value] : amberknot::testing::default_setting_values()) {
       settings += (settings.empty() ? "\"" : ",\"") + key + "\":\"" + value + "\"";
     }
     replace(R"({"name":"n","listen":")" + listen + R"(","seed":"0f","channel":")" + channel +
@@ -77,8 +77,8 @@
 discovery::EndpointUpdate update_of(std::uint64_t cursor, const std::string& name,
                                     const std::string& address) {
   discovery::EndpointUpdate update;
-  update.cursor = cursor;
-  update.has_servers = true;
+  update.event_number = cursor;
+  update.has_endpoint_list = true;
   update.changes.push_back({name, address, 0, EndpointState::kReady, 0});
   return update;
 }
@@ -87,82 +87,85 @@
 
 // Without a handler, SIGHUP ends the program.
 TEST_CASE("on SIGHUP the program keeps running and follows the command channel of its new configuration") {
-  Bench bench;  // provides the loop and the command channel
-  Listener next_channel(bench.loop);
+  RouterFixture fixture;  // provides the loop and the command channel
+  StandInListener next_channel(fixture.loop);
   ConfigFile file;
   const std::string listen = "127.0.0.1:" + std::to_string([&] {
-                               Listener free(bench.loop);
+                               StandInListener free(fixture.loop);
                                return free.acceptor.local_endpoint().port();
                              }());
-  file.write(listen, bench.channel.address);
+  file.write(listen, fixture.command_channel.address);
   Program program(file.path());
-  bench.until([&] { return bench.channel.with("Last-Event-ID: 7\r\n") != nullptr; });
+  fixture.run_until(
+      [&] { return fixture.command_channel.find_connection_with("Last-Event-ID: 7\r\n") != nullptr; });
   file.replace("{");  // an invalid file changes nothing
   program.signal(SIGHUP);
-  const auto caller = bench.connect(*net::read_endpoint(listen));
-  const auto probe = [&](const std::string& sid) {
+  const auto caller = fixture.connect(*net::parse_endpoint(listen));
+  const auto check_health = [&](const std::string& sid) {
     caller->stream->send("{\"msg\":\"probe\",\"sid\":\"" + sid + "\",\"attrs\":{},\"code\":0}\n");
-    bench.until([&] { return caller->has("\"probed\",\"sid\":\"" + sid); });
+    fixture.run_until([&] { return caller->has_received("\"probed\",\"sid\":\"" + sid); });
   };
-  probe("00000000000000a1");
+  check_health("00000000000000a1");
   file.write(listen, next_channel.address);
   program.signal(SIGHUP);
-  bench.until([&] { return next_channel.with("Last-Event-ID: 7\r\n") != nullptr; });
-  probe("00000000000000a2");
+  fixture.run_until([&] { return next_channel.find_connection_with("Last-Event-ID: 7\r\n") != nullptr; });
+  check_health("00000000000000a2");
   CHECK_FALSE(program.has_ended());
   program.signal(SIGTERM);
-  bench.until([&] { return program.has_ended(); });
+  fixture.run_until([&] { return program.has_ended(); });
   CHECK(WIFEXITED(program.status()));
   CHECK(WEXITSTATUS(program.status()) == 0);
 }
 
 TEST_CASE("a reload switches to the new command channel at once and resumes after the last event") {
-  Bench bench;
+  RouterFixture fixture;
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
   const auto event = [&](int id, const std::string& name) {
     return "id: " + std::to_string(id) + "\ndata: {\"cursor\":" + std::to_string(id) +
            ",\"nodes\":{\"snapshot\":false,\"endpoints\":[{\"name\":\"" + name + "\",\"address\":\"" +
-           bench.server.address + "\",\"group\":0,\"status\":\"ready\",\"since_ms\":0}]}}\n\n";
+           fixture.server.address + "\",\"group\":0,\"status\":\"ready\",\"since_ms\":0}]}}\n\n";
   };
-  bench.until([&] { return bench.channel.with("Last-Event-ID: 0\r\n") != nullptr; });
-  auto& old_channel = *bench.channel.ends[0];
+  fixture.run_until(
+      [&] { return fixture.command_channel.find_connection_with("Last-Event-ID: 0\r\n") != nullptr; });
+  auto& old_channel = *fixture.command_channel.connections[0];
   old_channel.stream->send(head + event(3, "s1"));
-  bench.until([&] { return bench.router->counters().endpoint_events == 1; });
+  fixture.run_until([&] { return fixture.router->counters().endpoint_events == 1; });
 
-  Listener next_channel(bench.loop);
-  auto new_config = bench.config;
-  new_config.channel = next_channel.acceptor.local_endpoint();
-  bench.router->reload(new_config);
-  bench.until([&] { return next_channel.with("Last-Event-ID: 3\r\n") != nullptr; });
+  StandInListener next_channel(fixture.loop);
+  auto new_config = fixture.config;
+  new_config.command_channel = next_channel.acceptor.local_endpoint();
+  fixture.router->reload(new_config);
+  fixture.run_until([&] { return next_channel.find_connection_with("Last-Event-ID: 3\r\n") != nullptr; });
   // The router closes its connection to the old channel; events from there are no longer applied.
-  bench.until([&] { return old_channel.closed; });
-  next_channel.ends[0]->stream->send(head + event(3, "s2") + event(4, "s3"));
-  bench.until([&] { return bench.router->counters().endpoint_events == 2; });
-  CHECK(bench.channel.ends.size() == 1);
-  CHECK(bench.router->counters().reloads == 1);
+  fixture.run_until([&] { return old_channel.closed; });
+  next_channel.connections[0]->stream->send(head + event(3, "s2") + event(4, "s3"));
+  fixture.run_until([&] { return fixture.router->counters().endpoint_events == 2; });
+  CHECK(fixture.command_channel.connections.size() == 1);
+  CHECK(fixture.router->counters().reloads == 1);
 
   SUBCASE("a reload with the same channel keeps the connection") {
-    bench.router->reload(new_config);
-    bench.settle();
-    CHECK(next_channel.ends.size() == 1);
-    CHECK_FALSE(next_channel.ends[0]->closed);
+    fixture.router->reload(new_config);
+    fixture.wait_for_messages_in_transit();
+    CHECK(next_channel.connections.size() == 1);
+    CHECK_FALSE(next_channel.connections[0]->closed);
   }
   SUBCASE("events in the new file are applied if their numbers are new") {
-    new_config.known = {update_of(4, "s4", bench.server.address), update_of(5, "s5", bench.server.address)};
-    bench.router->reload(new_config);
-    CHECK(bench.router->counters().endpoint_events == 3);
+    new_config.known_updates = {update_of(4, "s4", fixture.server.address),
+                                update_of(5, "s5", fixture.server.address)};
+    fixture.router->reload(new_config);
+    CHECK(fixture.router->counters().endpoint_events == 3);
   }
   SUBCASE("an unreachable channel is retried, and a later reload leaves only one connection") {
-    Listener unreachable(bench.loop);
+    StandInListener unreachable(fixture.loop);
     const auto address = unreachable.acceptor.local_endpoint();
-    unreachable.die();
-    new_config.channel = address;
-    bench.router->reload(new_config);
-    bench.until([&] { return bench.router->counters().endpoint_watch_restarts >= 3; });
-    new_config.channel = next_channel.acceptor.local_endpoint();
-    bench.router->reload(new_config);
-    bench.until([&] { return next_channel.count("Last-Event-ID: 4\r\n") == 1; });
-    bench.settle();
-    CHECK(next_channel.ends.size() == 2);
+    unreachable.stop();
+    new_config.command_channel = address;
+    fixture.router->reload(new_config);
+    fixture.run_until([&] { return fixture.router->counters().endpoint_watch_restarts >= 3; });
+    new_config.command_channel = next_channel.acceptor.local_endpoint();
+    fixture.router->reload(new_config);
+    fixture.run_until([&] { return next_channel.count("Last-Event-ID: 4\r\n") == 1; });
+    fixture.wait_for_messages_in_transit();
+    CHECK(next_channel.connections.size() == 2);
   }
 }
--- a/tests/rule_guards_test.cpp
+++ b/tests/rule_guards_test.cpp
@@ -194,7 +194,7 @@
       HealthCheckResult result;
       result.server = ServerId{server};
       result.is_unsolicited = true;
-      result.report.lines = total;
+      result.report.total_lines = total;
       result.report.free_lines = total - established;
       scenario.handle(result);
     };
@@ -255,7 +255,7 @@
 
 TEST(Attempts, ACallHasNoMoreAttemptsThanTheLimit) {
   auto settings = default_settings();
-  settings.limits.max_tries = 2;
+  settings.limits.max_attempts = 2;
   Scenario scenario(settings);
   scenario.update_endpoints({ready_endpoint(1), ready_endpoint(2), ready_endpoint(3)});
   scenario.start_call(1, 1);
--- a/tests/session_api_test.cpp
+++ b/tests/session_api_test.cpp
@@ -23,7 +23,7 @@
   app::OperatorFile file;
   file.session_api.emplace();
   file.session_api->servers["*"] = version;
-  const auto faults = translate::read_table(
+  const auto faults = translate::parse_operator_table(
       R"({"rows":[{"to":"session-2","field":"region","by":"@tenant","table":{"acme":"jakarta"},"otherwise":"not-eligible"}]})",
       file.translate);
   REQUIRE(faults.empty());
@@ -31,7 +31,7 @@
 }
 
 app::Config config_with_two_tenants() {
-  auto config = bench_config();
+  auto config = router_config();
   config.names.tenants = {"acme", "toko"};
   config.settings.tenants.resize(2);
   return config;
@@ -110,44 +110,44 @@
   bool ignore_deletes = false;
 };
 
-struct SessionApiFixture : Bench {
+struct SessionApiFixture : RouterFixture {
   explicit SessionApiFixture(const app::OperatorFile& file = make_operator_file())
-      : Bench(file, config_with_two_tenants()) {}
+      : RouterFixture(file, config_with_two_tenants()) {}
   void list_server(SessionServer& server, const std::string& name,
                    EndpointState state = EndpointState::kReady, std::int64_t started = 0) {
     discovery::EndpointUpdate update;
-    update.has_servers = true;
+    update.has_endpoint_list = true;
     update.changes.push_back({name, server.http2.address(), 0, state, started});
-    router->apply(update);
+    router->apply_endpoint_update(update);
   }
   /// Lists the server, and waits until its version is known and its event stream is open.
   void list_and_wait(SessionServer& server, const std::string& name) {
     const int requests_before = server.event_stream_requests;
     list_server(server, name);
-    until([&] {
-      return server.event_stream_requests > requests_before && version_of(name) != core::kNotKnown;
+    run_until([&] {
+      return server.event_stream_requests > requests_before && version_of(name) != core::kUnknownVersion;
     });
   }
   ProtocolVersion version_of(const std::string& name) {
     return router->servers().find(std::string_view(name))->version;
   }
   SessionServer::SetUp& wait_for_set_up(SessionServer& server, std::size_t count = 1) {
-    until([&] { return server.set_ups.size() >= count; });
+    run_until([&] { return server.set_ups.size() >= count; });
     return server.set_ups[count - 1];
   }
   void open_call(const std::string& sid, const std::string& tenant, int remaining_ms = 2000) {
-    say("{\"msg\":\"open\",\"sid\":\"" + sid + "\",\"attrs\":{\"class\":\"voice\",\"left\":\"" +
-        std::to_string(remaining_ms) + "\",\"tenant\":\"" + tenant +
-        "\",\"key\":\"77aa\",\"extras\":\"dest:0;width:1;via:-1\"},\"text\":\"sdp\"}\n");
+    send_from_caller("{\"msg\":\"open\",\"sid\":\"" + sid + "\",\"attrs\":{\"class\":\"voice\",\"left\":\"" +
+                     std::to_string(remaining_ms) + "\",\"tenant\":\"" + tenant +
+                     "\",\"key\":\"77aa\",\"extras\":\"dest:0;width:1;via:-1\"},\"text\":\"sdp\"}\n");
   }
   bool caller_received(const std::string& sid, const std::string& type) {
-    return caller->has("\"msg\":\"" + type + "\",\"sid\":\"" + sid);
+    return caller->has_received("\"msg\":\"" + type + "\",\"sid\":\"" + sid);
   }
   void establish(SessionServer& server, const std::string& sid) {
     const auto before = server.set_ups.size();
     open_call(sid, "acme");
     SessionServer::answer(wait_for_set_up(server, before + 1), sid);
-    until([&] { return caller_received(sid, "ready"); });
+    run_until([&] { return caller_received(sid, "ready"); });
   }
 };
 
@@ -164,7 +164,7 @@
   translate::Record record;
   std::string fault;
   REQUIRE_MESSAGE(reader.read_set_up(2, {set_up.body.data(), set_up.body.size()}, record, fault), fault);
-  const auto& fields = translate::find_dialect("session-2")->of(translate::Kind::kSetUp);
+  const auto& fields = translate::find_dialect("session-2")->of(translate::MessageKind::kSetUp);
   CHECK(record.text(translate::index_of(fields, "id")) == kSessionA);
   CHECK(record.text(translate::index_of(fields, "retailer")) == "acme");
   CHECK(record.text(translate::index_of(fields, "region")) == "jakarta");
@@ -174,17 +174,17 @@
   CHECK(wait > 1000);
   CHECK(wait <= 2000);
   SessionServer::answer(set_up, kSessionA);
-  fixture.until([&] { return fixture.caller_received(kSessionA, "ready"); });
-  CHECK(fixture.caller->has("desc of the server"));
+  fixture.run_until([&] { return fixture.caller_received(kSessionA, "ready"); });
+  CHECK(fixture.caller->has_received("desc of the server"));
   // Released by the caller.
-  fixture.say("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
-  fixture.until([&] { return !server.deleted_paths.empty(); });
+  fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
+  fixture.run_until([&] { return !server.deleted_paths.empty(); });
   CHECK(server.deleted_paths.front() == "/sessions/" + kSessionA + "?cause=16");
   // Released by the server.
   fixture.establish(server, kSessionB);
   server.send_event(1, "released", R"({"id":")" + kSessionB + R"(","cause":16})");
-  fixture.until([&] { return fixture.caller_received(kSessionB, "close"); });
-  fixture.settle();
+  fixture.run_until([&] { return fixture.caller_received(kSessionB, "close"); });
+  fixture.wait_for_messages_in_transit();
   CHECK(server.deleted_paths.size() == 1);
   CHECK(fixture.router->table().established() == 0);
 }
@@ -198,7 +198,7 @@
   CHECK(set_up.version == "1");
   CHECK(set_up.body.find("retailer") == std::string::npos);
   SessionServer::answer(set_up, kSessionA);
-  fixture.until([&] { return fixture.caller_received(kSessionA, "ready"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionA, "ready"); });
 }
 
 TEST_CASE(
@@ -208,14 +208,14 @@
   fixture.list_and_wait(version_2_server, "h2");
   const Instant opened_at = Loop::now();
   fixture.open_call(kSessionA, "toko");
-  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionA, "close"); });
   CHECK(Loop::now() - opened_at < milliseconds{500});
-  CHECK(fixture.caller->has("\"code\":100"));
+  CHECK(fixture.caller->has_received("\"code\":100"));
   SessionServer version_1_server(fixture.loop, R"({"versions":[1],"process":"q"})");
   fixture.list_and_wait(version_1_server, "h1");
   fixture.open_call(kSessionB, "toko");
   SessionServer::answer(fixture.wait_for_set_up(version_1_server), kSessionB);
-  fixture.until([&] { return fixture.caller_received(kSessionB, "ready"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionB, "ready"); });
   CHECK(version_2_server.set_ups.empty());
 }
 
@@ -236,7 +236,7 @@
   for (int i = 0; i < 30; ++i) {
     const std::string sid = std::to_string(1'000'000'000'000'000 + i);
     fixture.open_call(sid, "acme");
-    fixture.until([&] { return fixture.caller_received(sid, "ready"); });
+    fixture.run_until([&] { return fixture.caller_received(sid, "ready"); });
   }
   CHECK(version_1_server.set_ups.size() == 30);
   CHECK(version_2_server.set_ups.size() + other_version_2_server.set_ups.size() <= 30);
@@ -254,7 +254,7 @@
       {404, "", "", "\"code\":1", ""},
       {409, "number-busy", "", "\"code\":17", ""},
       {429, "over-share", "1", "\"code\":42", "\"wait\":\"1000\""},
-      {429, "over-share", "3600", "\"code\":42", "\"wait\":\"2000\""},  // capped by max_retry_advice
+      {429, "over-share", "3600", "\"code\":42", "\"wait\":\"2000\""},  // capped by max_retry_after
   };
   for (const auto& test_case : cases) {
     CAPTURE(test_case.type);
@@ -265,12 +265,14 @@
     };
     fixture.list_and_wait(server, "h1");
     fixture.open_call(kSessionA, "acme");
-    fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
-    CHECK_MESSAGE((fixture.caller->has(test_case.code + "}") || fixture.caller->has(test_case.code + ",")),
-                  fixture.caller->in);
-    if (!test_case.wait.empty()) CHECK_MESSAGE(fixture.caller->has(test_case.wait), fixture.caller->in);
+    fixture.run_until([&] { return fixture.caller_received(kSessionA, "close"); });
+    CHECK_MESSAGE((fixture.caller->has_received(test_case.code + "}") ||
+                   fixture.caller->has_received(test_case.code + ",")),
+                  fixture.caller->received);
+    if (!test_case.wait.empty())
+      CHECK_MESSAGE(fixture.caller->has_received(test_case.wait), fixture.caller->received);
     CHECK(server.set_ups.size() == 1);
-    fixture.settle();
+    fixture.wait_for_messages_in_transit();
     CHECK(fixture.caller->count(kSessionA) == 1);
   }
 }
@@ -292,7 +294,7 @@
   fixture.wait_for_set_up(server, 3);
   CHECK(Loop::now() - reset_at >= milliseconds{500});
   SessionServer::answer(server.set_ups[2], kSessionA);
-  fixture.until([&] { return fixture.caller_received(kSessionA, "ready"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionA, "ready"); });
 }
 
 TEST_CASE("when a caller gives up, the session that may have been established is deleted") {
@@ -301,11 +303,11 @@
   fixture.list_and_wait(server, "h1");
   fixture.open_call(kSessionA, "acme");
   auto& set_up = fixture.wait_for_set_up(server);
-  fixture.say("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
+  fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
   SessionServer::answer(set_up, kSessionA);  // crosses the cancel on the wire
-  fixture.until([&] { return !server.deleted_paths.empty(); });
+  fixture.run_until([&] { return !server.deleted_paths.empty(); });
   CHECK(server.deleted_paths.front().find(kSessionA) != std::string::npos);
-  fixture.settle();
+  fixture.wait_for_messages_in_transit();
   CHECK_FALSE(fixture.caller_received(kSessionA, "ready"));
 }
 
@@ -315,9 +317,9 @@
   fixture.list_and_wait(server, "h1");
   fixture.establish(server, kSessionA);
   server.failing_deletes = 2;
-  fixture.say("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
-  fixture.until([&] { return server.deleted_paths.size() == 3; });
-  fixture.settle();
+  fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
+  fixture.run_until([&] { return server.deleted_paths.size() == 3; });
+  fixture.wait_for_messages_in_transit();
   CHECK(server.deleted_paths.size() == 3);
 }
 
@@ -329,17 +331,17 @@
   fixture.list_and_wait(old_server, "h1");
   fixture.establish(old_server, kSessionA);
   old_server.ignore_deletes = true;
-  fixture.say("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
-  fixture.until([&] { return old_server.deleted_paths.size() == 1; });
+  fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"" + kSessionA + "\",\"attrs\":{},\"code\":16}\n");
+  fixture.run_until([&] { return old_server.deleted_paths.size() == 1; });
   fixture.open_call(kSessionB, "acme");
   fixture.wait_for_set_up(old_server, 2);
   const Instant moved_at = Loop::now();
   fixture.list_and_wait(new_server, "h1");
-  fixture.until([&] { return new_server.deleted_paths.size() == 1; });
+  fixture.run_until([&] { return new_server.deleted_paths.size() == 1; });
   // The outstanding set-up counts as reset, so it is not retried before the release wait is over.
   SessionServer::answer(fixture.wait_for_set_up(new_server), kSessionB);
   CHECK(Loop::now() - moved_at >= milliseconds{500});
-  fixture.until([&] { return fixture.caller_received(kSessionB, "ready"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionB, "ready"); });
 }
 
 TEST_CASE("a server that drains, by the endpoint list or by its own event, gets no new set-ups") {
@@ -354,14 +356,14 @@
     server.send_event(1, "draining", "{}");
     server.send_event(2, "load", R"({"x0":3})");
     const auto before = fixture.router->counters().load_reports;
-    fixture.until([&] { return fixture.router->counters().load_reports > before; });
+    fixture.run_until([&] { return fixture.router->counters().load_reports > before; });
   }
   fixture.open_call(kSessionB, "acme", 300);
-  fixture.until([&] { return fixture.caller_received(kSessionB, "close"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionB, "close"); });
   CHECK(server.set_ups.size() == 1);
   CHECK(fixture.router->table().established() == 1);  // the established session continues
   server.send_event(3, "released", R"({"id":")" + kSessionA + R"(","cause":16})");
-  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionA, "close"); });
 }
 
 TEST_CASE("the event stream resumes after a break, and repeated events are ignored") {
@@ -371,19 +373,19 @@
   fixture.establish(server, kSessionA);
   fixture.establish(server, kSessionB);
   server.send_event(7, "load", R"({"x0":3})");
-  fixture.until([&] { return fixture.router->counters().load_reports > 0; });
+  fixture.run_until([&] { return fixture.router->counters().load_reports > 0; });
   const int requests_before = server.event_stream_requests;
   server.event_stream.first->reset_stream(server.event_stream.second, NGHTTP2_INTERNAL_ERROR);
-  fixture.until([&] { return server.event_stream_requests > requests_before; });
+  fixture.run_until([&] { return server.event_stream_requests > requests_before; });
   CHECK(server.last_event_id == "7");
   // Ignored, because event 7 has been processed.
   server.send_event(7, "released", R"({"id":")" + kSessionB + R"(","cause":16})");
   server.send_event(8, "released", R"({"id":")" + kSessionA + R"(","cause":16})");
-  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionA, "close"); });
   CHECK_FALSE(fixture.caller_received(kSessionB, "close"));
   // Sessions whose events the server has dropped are checked one by one; it answers 404 to each check.
   server.send_event(9, "lost", R"({"before":9})");
-  fixture.until([&] { return fixture.caller_received(kSessionB, "close"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionB, "close"); });
   CHECK(server.checked_paths == std::vector<std::string>{"/sessions/" + kSessionB});
 }
 
@@ -395,9 +397,9 @@
   auto& set_up = fixture.wait_for_set_up(server);
   server.send_event(1, "released", R"({"id":")" + kSessionA + R"(","cause":16})");
   server.send_event(2, "load", R"({"x0":3})");
-  fixture.until([&] { return fixture.router->counters().load_reports > 0; });
+  fixture.run_until([&] { return fixture.router->counters().load_reports > 0; });
   SessionServer::answer(set_up, kSessionA);
-  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionA, "close"); });
   CHECK(fixture.caller_received(kSessionA, "ready"));
   CHECK(fixture.caller->count(kSessionA) == 2);
 }
@@ -412,14 +414,14 @@
   server.http2.crash();
   server.versions = R"({"versions":[1],"process":"p2"})";
   server.http2.restart();
-  fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
-  fixture.until([&] { return fixture.version_of("h1") != old_version; });
+  fixture.run_until([&] { return fixture.caller_received(kSessionA, "close"); });
+  fixture.run_until([&] { return fixture.version_of("h1") != old_version; });
   const auto before = server.set_ups.size();
   fixture.open_call(kSessionB, "acme");
   auto& set_up = fixture.wait_for_set_up(server, before + 1);
   CHECK(set_up.version == "1");
   SessionServer::answer(set_up, kSessionB);
-  fixture.until([&] { return fixture.caller_received(kSessionB, "ready"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionB, "ready"); });
 }
 
 TEST_CASE("a server that denies its old version after an upgrade is asked for its versions again") {
@@ -435,7 +437,7 @@
     }
   };
   fixture.open_call(kSessionA, "acme");
-  fixture.until([&] { return fixture.caller_received(kSessionA, "ready"); });
+  fixture.run_until([&] { return fixture.caller_received(kSessionA, "ready"); });
   CHECK(server.set_ups.size() == 2);
 }
 
@@ -449,8 +451,8 @@
     fixture.open_call(kSessionA, "acme", 300);
     auto& set_up = fixture.wait_for_set_up(server);
     set_up.peer->respond(set_up.stream, 201, {}, body);
-    fixture.until([&] { return fixture.caller_received(kSessionA, "close"); });
-    fixture.until([&] { return !server.deleted_paths.empty(); });
+    fixture.run_until([&] { return fixture.caller_received(kSessionA, "close"); });
+    fixture.run_until([&] { return !server.deleted_paths.empty(); });
     CHECK_FALSE(fixture.caller_received(kSessionA, "ready"));
   }
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testing::settings_keys;
+using testing::default_setting_values;
 using testing::settings_text;
 
 TEST(Settings, ReadsAllSettings) {
@@ -27,7 +27,7 @@
   EXPECT_FALSE(settings.own_pool.has_value());
   EXPECT_EQ(settings.invariants.overload_multiple, 4.0);
   EXPECT_EQ(settings.invariants.retry_pause, 300ms);
-  EXPECT_EQ(settings.limits.max_tries, 4U);
+  EXPECT_EQ(settings.limits.max_attempts, 4U);
   ASSERT_EQ(settings.tenants.size(), 1U);
   EXPECT_EQ(settings.tenants[0].quota_per_s, 12.5);
   EXPECT_EQ(parsed.report_columns.size(), 4U);
@@ -35,7 +35,7 @@
 }
 
 TEST(Settings, OptionalSettingsMayBeAbsent) {
-  auto keys = settings_keys();
+  auto keys = default_setting_values();
   for (const auto* key : {"report.columns", "tenants.count", "family_info.class_hold_us",
                           "family_info.retry_hint", "family_info.skilled_pools.0"}) {
     keys.erase(key);
@@ -59,7 +59,7 @@
 TEST_P(RequiredKey, ErrorNamesMissingOrUnreadableKey) {
   const std::string key = GetParam();
   for (const bool is_missing : {true, false}) {
-    auto keys = settings_keys();
+    auto keys = default_setting_values();
     if (is_missing) {
       keys.erase(key);
     } else {
@@ -86,7 +86,7 @@
 
 // Checked for two deployments: with tenants, load reports and retry advice, and without them.
 TEST(Settings, ErrorNamesKeyWithNonsensicalValue) {
-  auto without_optional_settings = settings_keys();
+  auto without_optional_settings = default_setting_values();
   for (const auto* key :
        {"report.columns", "tenants.count", "tenants.0.quota_per_s", "family_info.resend_us"}) {
     without_optional_settings.erase(key);
@@ -110,7 +110,7 @@
                                                                 {"invariants.drain_grace_us", "1e300"},
                                                                 {"limits.most_tries", "0"},
                                                                 {"limits.cancel", "yes"}};
-  for (const auto& base : {settings_keys(), without_optional_settings}) {
+  for (const auto& base : {default_setting_values(), without_optional_settings}) {
     ASSERT_NO_THROW(parse_settings(settings_text(base), 9));
     for (const auto& [key, value] : invalid_values) {
       auto keys = base;
@@ -124,13 +124,13 @@
       }
     }
   }
-  auto keys = settings_keys();
+  auto keys = default_setting_values();
   keys["tenants.0.quota_per_s"] = "-1";
   EXPECT_THROW(parse_settings(settings_text(keys), 9), SettingsError);
 }
 
 TEST(Settings, RejectsHugeAndNegativeCounts) {
-  auto keys = settings_keys();
+  auto keys = default_setting_values();
   keys["classes.count"] = "4000000000";
   EXPECT_THROW(parse_settings(settings_text(keys), 9), SettingsError);
   keys["classes.count"] = "-1";
--- a/tests/settings_text.hpp
+++ b/tests/settings_text.hpp
@@ -6,7 +6,7 @@
 
 namespace amberknot::testing {
 
-inline std::map<std::string, std::string> settings_keys() {
+inline std::map<std::string, std::string> default_setting_values() {
   return {{"classes.count", "1"},
           {"classes.0.aim_us", "1500000"},
           {"classes.0.deadline_us", "9000000"},
@@ -41,7 +41,7 @@
           {"tenants.0.quota_per_s", "12.5"}};
 }
 
-inline std::string settings_text(const std::map<std::string, std::string>& keys = settings_keys()) {
+inline std::string settings_text(const std::map<std::string, std::string>& keys = default_setting_values()) {
   std::string text;
   for (const auto& [key, value] : keys) text += key + "=" + value + "\n";
   return text;
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -27,7 +27,7 @@
 }
 
 app::Config config_with_deadline(Duration deadline) {
-  auto config = bench_config();
+  auto config = router_config();
   for (auto& call_class : config.settings.classes) {
     call_class.deadline = deadline;
     // No attempt is cancelled for lack of an answer before the shutdown ends it.
@@ -38,12 +38,13 @@
 
 /// A router with more calls than its only server has tokens: some are in flight and never answered, the
 /// others are queued.
-struct LoadedRouter : Bench {
-  explicit LoadedRouter(const app::Config& config = config_with_deadline(kDeadline)) : Bench({}, config) {
-    list();
-    for (std::size_t number = 0; number < kCalls; ++number) open(call_id(number), kCallerTimeoutMs);
-    until([&] { return router->table().unanswered() == kCalls && server.count("CSeq: 1 INVITE") > 0; });
-    settle();
+struct LoadedRouter : RouterFixture {
+  explicit LoadedRouter(const app::Config& config = config_with_deadline(kDeadline))
+      : RouterFixture({}, config) {
+    announce_server();
+    for (std::size_t number = 0; number < kCalls; ++number) send_set_up(call_id(number), kCallerTimeoutMs);
+    run_until([&] { return router->table().unanswered() == kCalls && server.count("CSeq: 1 INVITE") > 0; });
+    wait_for_messages_in_transit();
     in_flight = server.count("CSeq: 1 INVITE");
     REQUIRE(in_flight > 0);
     REQUIRE(in_flight < kCalls);
@@ -55,8 +56,8 @@
   /// Runs the loop until the router has exited. Returns false if it has not exited within kExitTimeLimit.
   bool exits_in_time() {
     bool is_late = false;
-    loop.wheel.at(began + kExitTimeLimit, [&] { is_late = true; });
-    until([&] { return exits > 0 || is_late; });
+    loop.timers.schedule_at(began + kExitTimeLimit, [&] { is_late = true; });
+    run_until([&] { return exits > 0 || is_late; });
     return !is_late;
   }
   [[nodiscard]] std::size_t rejections_with_wait() const { return caller->count("\"attrs\":{\"wait\":"); }
@@ -71,18 +72,18 @@
 TEST_CASE("on SIGTERM queued calls are rejected and attempts in flight cancelled before SIGKILL may come") {
   LoadedRouter router;
   router.shut_down();
-  router.open(call_id(kCalls), kCallerTimeoutMs);  // still accepted at the start of a shutdown
-  router.shut_down();                              // a second SIGTERM changes nothing
+  router.send_set_up(call_id(kCalls), kCallerTimeoutMs);  // still accepted at the start of a shutdown
+  router.shut_down();                                     // a second SIGTERM changes nothing
   CHECK(router.exits_in_time());
   CHECK(router.exits == 1);
   CHECK(router.router->table().unanswered() == 0);
-  router.until([&] { return router.caller->closed; });
-  CHECK(router.caller->why == net::CloseReason::kEnded);
+  router.run_until([&] { return router.caller->closed; });
+  CHECK(router.caller->close_reason == net::CloseReason::kClosedByPeer);
   CHECK(router.caller->count("\"close\"") == kCalls + 1);
   // The decision module gives up the last call because of its short remaining time. The module itself gives
   // retry advice only under load.
   CHECK(router.rejections_with_wait() >= kCalls);
-  router.until([&] { return router.server.count("CANCEL sip:") == router.in_flight; });
+  router.run_until([&] { return router.server.count("CANCEL sip:") == router.in_flight; });
 }
 
 TEST_CASE("a shutdown after a reload uses the class deadlines of the new configuration") {
@@ -93,7 +94,7 @@
   router.router->reload(new_config);
   router.shut_down();
   CHECK(router.exits_in_time());
-  router.until([&] { return router.caller->closed; });
+  router.run_until([&] { return router.caller->closed; });
   CHECK(router.rejections_with_wait() == kCalls);
 }
 
@@ -103,12 +104,12 @@
   REQUIRE(mkdtemp(folder.data()) != nullptr);
   router.router->join_hot_restart(folder);
   auto config = router.config;
-  config.listen = router.router->callers_at();
+  config.listen = router.router->callers_endpoint();
   app::Router successor(router.loop, config);
   successor.join_hot_restart(folder);
   router.shut_down();
   CHECK(router.exits_in_time());
-  router.until([&] { return router.caller->closed; });
+  router.run_until([&] { return router.caller->closed; });
   CHECK(router.rejections_with_wait() == kCalls);
   std::filesystem::remove_all(folder);
 }
@@ -132,16 +133,16 @@
 struct SilentServer : core::UpstreamPool {
   void on_endpoint_changed(const core::Endpoint&) override {}
   void forget_server(ServerId) override {}
-  void set_up(const core::SetUp& set_up) override {
+  void set_up(const core::OutgoingSetUp& set_up) override {
     ++sent;
-    latest_wait = set_up.wait;
+    latest_wait = set_up.answer_timeout;
   }
-  bool cancel(const core::AttemptRef&) override {
+  bool cancel(const core::AttemptId&) override {
     ++cancelled;
     return is_connecting;
   }
-  void release(const core::AttemptRef&, core::Cause) override {}
-  void forget(const core::AttemptRef&) override {}
+  void release(const core::AttemptId&, core::Cause) override {}
+  void forget_attempt(const core::AttemptId&) override {}
   void check_health(ServerId) override {}
   std::size_t sent = 0, cancelled = 0;
   Duration latest_wait{};
@@ -150,19 +151,20 @@
 
 /// The core without sockets, with a clock that the test advances.
 struct SimulatedCore {
-  explicit SimulatedCore(const app::Config& config = bench_config())
+  explicit SimulatedCore(const app::Config& config = router_config())
       : dispatcher(config.settings, now), wheel(now) {
-    auto& listed = servers.of("s1");
-    listed.port = &server;
+    auto& listed = servers.find_or_create("s1");
+    listed.upstream_pool = &server;
     listed.state = EndpointState::kReady;
-    table.on_endpoints_changed(true, {{listed.id, PoolId{0}, EndpointState::kReady, {}, core::kNotKnown}});
+    table.on_endpoints_changed(true,
+                               {{listed.id, PoolId{0}, EndpointState::kReady, {}, core::kUnknownVersion}});
   }
   void open(Duration caller_timeout) {
-    core::NewSetUp set_up;
+    core::SetUpRequest set_up;
     set_up.id = "00000000000000a1";
     set_up.call_class = "voice";
-    set_up.facts.expires = now + caller_timeout;
-    table.route(table.admit(client, std::move(set_up)));
+    set_up.request.expires = now + caller_timeout;
+    table.route(table.add_call(client, std::move(set_up)));
   }
   void advance_to(Instant moment) {
     while (now < moment) {
@@ -230,9 +232,9 @@
 
 TEST_CASE("retry advice of a shutdown obeys the settings: none if disabled, and at most the maximum") {
   for (const auto max_advice : {Duration::zero(), Duration{milliseconds{50}}}) {
-    auto config = bench_config();
-    config.settings.limits.retry_advice = max_advice > Duration::zero();
-    config.settings.limits.max_retry_advice = max_advice;
+    auto config = router_config();
+    config.settings.limits.may_advise_retry = max_advice > Duration::zero();
+    config.settings.limits.max_retry_after = max_advice;
     SimulatedCore core(config);
     for (int i = 0; i < 12; ++i) core.open(seconds{9});
     const auto plan = GracefulShutdown::plan(core.now, seconds{3}, false);
@@ -244,7 +246,7 @@
 }
 
 TEST_CASE("a shutdown fails, and does not reject, a non-idempotent call that a server may have processed") {
-  auto config = bench_config();
+  auto config = router_config();
   for (auto& call_class : config.settings.classes) call_class.idempotent = false;
   SimulatedCore core(config);
   core.open(seconds{9});
--- a/tests/stuck_connection_test.cpp
+++ b/tests/stuck_connection_test.cpp
@@ -39,18 +39,18 @@
 }
 
 std::string answer_to(const std::string& sid) {
-  return Bench::sip("SIP/2.0 200 OK", sid, "1 INVITE", "", "sdp");
+  return RouterFixture::sip_message("SIP/2.0 200 OK", sid, "1 INVITE", "", "sdp");
 }
 
 /// A router with a server that answers on all its connections but one.
 struct StalledConnectionFixture {
-  StalledConnectionFixture() : acceptor(bench.loop.io, {asio::ip::make_address("127.0.0.1"), 0}) {
+  StalledConnectionFixture() : acceptor(router_fixture.loop.io, {asio::ip::make_address("127.0.0.1"), 0}) {
     accept();
     discovery::EndpointUpdate update;
-    update.has_servers = true;
+    update.has_endpoint_list = true;
     const auto address = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
     update.changes.push_back({"s1", address, 0, EndpointState::kReady, 0});
-    bench.router->apply(update);
+    router_fixture.router->apply_endpoint_update(update);
   }
   void accept() {
     acceptor.async_accept([this](const asio::error_code& error, asio::ip::tcp::socket socket) {
@@ -69,22 +69,23 @@
   }
   ServerConnection& invited(const std::string& sid) {
     ServerConnection* found = nullptr;
-    bench.until([&] { return (found = with(invite_of(sid))) != nullptr; });
+    router_fixture.run_until([&] { return (found = with(invite_of(sid))) != nullptr; });
     return *found;
   }
   void establish(const std::string& sid, ServerConnection& connection) {
     connection.say(answer_to(sid));
-    bench.until([&] { return bench.caller->has("\"ready\",\"sid\":\"" + sid); });
+    router_fixture.run_until(
+        [&] { return router_fixture.caller->has_received("\"ready\",\"sid\":\"" + sid); });
   }
   /// Returns a connection with one established call that the router has given up because a later set-up on it
   /// was not answered; `unanswered` is the id of that set-up.
   ServerConnection& stalled_connection() {
-    bench.open(kEstablished);
+    router_fixture.send_set_up(kEstablished);
     auto& established = invited(kEstablished);
     establish(kEstablished, established);
     while (unread == nullptr) {
       const auto sid = next_id();
-      bench.open(sid);
+      router_fixture.send_set_up(sid);
       auto& connection = invited(sid);
       if (&connection == &established) {
         unanswered = sid;
@@ -94,19 +95,19 @@
       }
     }
     const Instant sent_at = net::Loop::now();
-    bench.until([&] { return net::Loop::now() - sent_at > kSetUpGap; });
+    router_fixture.run_until([&] { return net::Loop::now() - sent_at > kSetUpGap; });
     connections_before_close = connections.size();
     const auto later = next_id();
-    bench.open(later);
+    router_fixture.send_set_up(later);
     establish(later, invited(later));
-    bench.until([&] { return bench.router->counters().stalled_connections == 1; });
+    router_fixture.run_until([&] { return router_fixture.router->counters().stalled_connections == 1; });
     return established;
   }
 
   /// Opens as many connections as the router allows for one server, with no set-up in flight.
   void open_all_connections() {
     std::vector<std::string> ids;
-    for (std::size_t i = 0; i < kMaxConnections; ++i) bench.open(ids.emplace_back(next_id()));
+    for (std::size_t i = 0; i < kMaxConnections; ++i) router_fixture.send_set_up(ids.emplace_back(next_id()));
     for (const auto& id : ids) invited(id);
     for (const auto& id : ids) establish(id, invited(id));
     REQUIRE(connections.size() == kMaxConnections);
@@ -114,7 +115,7 @@
 
   std::string next_id() { return std::to_string(1'000'000'000'000'000 + ++id_count); }
 
-  Bench bench;
+  RouterFixture router_fixture;
   asio::ip::tcp::acceptor acceptor;
   std::vector<std::unique_ptr<ServerConnection>> connections;
   ServerConnection* unread = nullptr;
@@ -127,16 +128,17 @@
 
 TEST_CASE("a release on a half-closed connection is handled if the server has not noticed the half-close") {
   StalledConnectionFixture fixture;
-  auto& bench = fixture.bench;
+  auto& router_fixture = fixture.router_fixture;
   auto& stalled_connection = fixture.stalled_connection();
   // The replacement connection opens before the release, so the server does not repeat the release there.
-  bench.until([&] { return fixture.connections.size() > fixture.connections_before_close; });
-  bench.settle();
-  stalled_connection.say(
-      Bench::sip("BYE sip:router@net SIP/2.0", kEstablished, "2 BYE", "Reason: Q.850;cause=16\r\n"));
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kEstablished); });
+  router_fixture.run_until([&] { return fixture.connections.size() > fixture.connections_before_close; });
+  router_fixture.wait_for_messages_in_transit();
+  stalled_connection.say(RouterFixture::sip_message("BYE sip:router@net SIP/2.0", kEstablished, "2 BYE",
+                                                    "Reason: Q.850;cause=16\r\n"));
+  router_fixture.run_until(
+      [&] { return router_fixture.caller->has_received("\"close\",\"sid\":\"" + kEstablished); });
   // The router sends nothing more on it: the server ends the set-ups on it when it reads the end.
-  bench.until([&] {
+  router_fixture.run_until([&] {
     stalled_connection.read();
     return stalled_connection.ended;
   });
@@ -145,49 +147,52 @@
 
 TEST_CASE("a late answer on a half-closed connection is released on another connection") {
   StalledConnectionFixture fixture;
-  auto& bench = fixture.bench;
+  auto& router_fixture = fixture.router_fixture;
   auto& stalled_connection = fixture.stalled_connection();
-  bench.say("{\"msg\":\"close\",\"sid\":\"" + fixture.unanswered + "\",\"attrs\":{},\"code\":16}\n");
-  bench.until([&] { return bench.router->counters().abandoned == 1; });
+  router_fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"" + fixture.unanswered +
+                                  "\",\"attrs\":{},\"code\":16}\n");
+  router_fixture.run_until([&] { return router_fixture.router->counters().abandoned == 1; });
   stalled_connection.say(answer_to(fixture.unanswered));
-  bench.until([&] { return bench.router->counters().late_answers == 1; });
-  bench.until([&] {
+  router_fixture.run_until([&] { return router_fixture.router->counters().late_answers == 1; });
+  router_fixture.run_until([&] {
     const auto* connection = fixture.with("BYE sip:");
     return connection != nullptr && connection->has("Call-ID: " + fixture.unanswered + "\r\nCSeq: 2 BYE");
   });
-  CHECK_FALSE(bench.caller->has("\"ready\",\"sid\":\"" + fixture.unanswered));
+  CHECK_FALSE(router_fixture.caller->has_received("\"ready\",\"sid\":\"" + fixture.unanswered));
 }
 
 TEST_CASE("a release on a half-closed connection does not end the next attempt of the call") {
   StalledConnectionFixture fixture;
-  auto& bench = fixture.bench;
+  auto& router_fixture = fixture.router_fixture;
   auto& stalled_connection = fixture.stalled_connection();
   const auto& call = fixture.unanswered;
   ServerConnection* next = nullptr;
-  bench.until([&] { return (next = fixture.with("Call-ID: " + call + "\r\nCSeq: 2 INVITE")) != nullptr; });
+  router_fixture.run_until(
+      [&] { return (next = fixture.with("Call-ID: " + call + "\r\nCSeq: 2 INVITE")) != nullptr; });
   // The server answered and released the first attempt, and the router receives both only now.
-  stalled_connection.say(answer_to(call) + Bench::sip("BYE sip:router@net SIP/2.0", call, "2 BYE",
-                                                      "Reason: Q.850;cause=16\r\n"));
-  bench.until([&] { return bench.router->counters().second_answers == 1; });
-  bench.settle();
+  stalled_connection.say(answer_to(call) + RouterFixture::sip_message("BYE sip:router@net SIP/2.0", call,
+                                                                      "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  router_fixture.run_until([&] { return router_fixture.router->counters().second_answers == 1; });
+  router_fixture.wait_for_messages_in_transit();
   fixture.establish(call, *next);
-  CHECK_FALSE(bench.caller->has("\"close\",\"sid\":\"" + call));
+  CHECK_FALSE(router_fixture.caller->has_received("\"close\",\"sid\":\"" + call));
 }
 
 // Messages on the half-closed connection are lost, and so is its end.
 TEST_CASE("while the server keeps a half-closed connection open, another is opened for releases") {
   StalledConnectionFixture fixture;
-  auto& bench = fixture.bench;
+  auto& router_fixture = fixture.router_fixture;
   SUBCASE("with room for another connection") {}
   SUBCASE("with the maximum number of connections: an idle one is closed to make room") {
     fixture.open_all_connections();
   }
   fixture.stalled_connection();
-  bench.until([&] { return fixture.connections.size() > fixture.connections_before_close; });
-  bench.settle();
+  router_fixture.run_until([&] { return fixture.connections.size() > fixture.connections_before_close; });
+  router_fixture.wait_for_messages_in_transit();
   const auto count_before = fixture.connections.size();
-  bench.until([&] { return fixture.connections.size() > count_before; });
-  fixture.connections.back()->say(
-      Bench::sip("BYE sip:router@net SIP/2.0", kEstablished, "2 BYE", "Reason: Q.850;cause=16\r\n"));
-  bench.until([&] { return bench.caller->has("\"close\",\"sid\":\"" + kEstablished); });
+  router_fixture.run_until([&] { return fixture.connections.size() > count_before; });
+  fixture.connections.back()->say(RouterFixture::sip_message("BYE sip:router@net SIP/2.0", kEstablished,
+                                                             "2 BYE", "Reason: Q.850;cause=16\r\n"));
+  router_fixture.run_until(
+      [&] { return router_fixture.caller->has_received("\"close\",\"sid\":\"" + kEstablished); });
 }
