--- a/tests/translate_state_test.cpp
+++ b/tests/translate_state_test.cpp
@@ -20,9 +20,9 @@
 
 namespace {
 
-constexpr DialectNo kSip{0};
-constexpr DialectNo kSession1{1};
-constexpr DialectNo kSession2{2};
+constexpr DialectIndex kSip{0};
+constexpr DialectIndex kSession1{1};
+constexpr DialectIndex kSession2{2};
 const std::vector<std::uint32_t> kRanks = {0, 1, 2};
 constexpr ServerId kServer{7};
 
@@ -35,26 +35,27 @@
   /// Returns the actions since the last call.
   Versions::Actions take_actions() { return std::exchange(actions, {}); }
   void listed(const std::string& address = "a", std::int64_t started = 0,
-              std::optional<DialectNo> configured = std::nullopt) {
-    versions.listed(now, kServer, address, started, configured, actions);
+              std::optional<DialectIndex> configured = std::nullopt) {
+    versions.on_server_listed(now, kServer, address, started, configured, actions);
   }
-  void connected(std::uint64_t connection) { versions.connected(now, kServer, connection, actions); }
-  void told(std::uint64_t connection, const std::string& process, std::vector<DialectNo> spoken) {
-    versions.told(now, kServer, connection, process, spoken, actions);
+  void connected(std::uint64_t connection) { versions.on_connected(now, kServer, connection, actions); }
+  void receive_versions(std::uint64_t connection, const std::string& process,
+                        std::vector<DialectIndex> supported) {
+    versions.on_versions_received(now, kServer, connection, process, supported, actions);
   }
   void advance(Duration time) {
     now += time;
-    versions.tick(now, actions);
+    versions.on_timer(now, actions);
   }
-  [[nodiscard]] std::optional<DialectNo> speaks() const { return versions.speaks(kServer); }
+  [[nodiscard]] std::optional<DialectIndex> current_dialect() const { return versions.dialect_of(kServer); }
   [[nodiscard]] VersionState state() const { return versions.state(kServer); }
 };
 
 VersionAction request_action(std::uint64_t connection) {
-  return {VersionAction::What::kRequest, kServer, connection, std::nullopt};
+  return {VersionAction::Kind::kRequest, kServer, connection, std::nullopt};
 }
-VersionAction changed_action(std::optional<DialectNo> dialect) {
-  return {VersionAction::What::kChanged, kServer, 0, dialect};
+VersionAction changed_action(std::optional<DialectIndex> dialect) {
+  return {VersionAction::Kind::kChanged, kServer, 0, dialect};
 }
 
 }  // namespace
@@ -66,11 +67,11 @@
   CHECK(fixture.state() == VersionState::kUnknown);
   fixture.connected(1);
   CHECK(fixture.take_actions() == Versions::Actions{request_action(1)});
-  fixture.told(1, "p1", {kSession1, kSession2, kSip});
+  fixture.receive_versions(1, "p1", {kSession1, kSession2, kSip});
   CHECK(fixture.take_actions() == Versions::Actions{changed_action(kSession2)});
-  CHECK(fixture.versions.dialects_in_use() == set_of(kSession2));
+  CHECK(fixture.versions.dialects_in_use() == version_set(kSession2));
   // SIP can only be configured: its rank is zero.
-  fixture.told(1, "p1", {kSip});
+  fixture.receive_versions(1, "p1", {kSip});
   CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt)});
   CHECK(fixture.state() == VersionState::kUnsupported);
 }
@@ -79,46 +80,46 @@
   Fixture fixture;
   fixture.listed("a", 1);
   fixture.connected(1);
-  fixture.told(1, "p1", {kSession1});
-  fixture.versions.pin(CallId{5}, *fixture.speaks());
+  fixture.receive_versions(1, "p1", {kSession1});
+  fixture.versions.pin(CallId{5}, *fixture.current_dialect());
   fixture.take_actions();
   SUBCASE("the list announces the new process after a connection to it is established") {
-    fixture.versions.disconnected(fixture.now, kServer, 1);
+    fixture.versions.on_disconnected(fixture.now, kServer, 1);
     fixture.connected(2);
     CHECK(fixture.take_actions() == Versions::Actions{request_action(2)});
-    CHECK(fixture.speaks() == kSession1);  // until the new process has answered
-    fixture.told(2, "p2", {kSession1, kSession2});
+    CHECK(fixture.current_dialect() == kSession1);  // until the new process has answered
+    fixture.receive_versions(2, "p2", {kSession1, kSession2});
     CHECK(fixture.take_actions() == Versions::Actions{changed_action(kSession2)});
     fixture.listed("a", 2);
     CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt), request_action(2)});
-    fixture.told(2, "p2", {kSession1, kSession2});
-    CHECK(fixture.speaks() == kSession2);
+    fixture.receive_versions(2, "p2", {kSession1, kSession2});
+    CHECK(fixture.current_dialect() == kSession2);
   }
   SUBCASE("the list announces the new process first") {
     fixture.listed("a", 2);
     CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt), request_action(1)});
-    fixture.versions.disconnected(fixture.now, kServer, 1);
+    fixture.versions.on_disconnected(fixture.now, kServer, 1);
     fixture.advance(milliseconds{1});
     CHECK(fixture.state() == VersionState::kUnknown);
     fixture.connected(2);
     CHECK(fixture.take_actions() == Versions::Actions{request_action(2)});
-    fixture.told(1, "p1", {kSession1});  // late answer of the previous process
+    fixture.receive_versions(1, "p1", {kSession1});  // late answer of the previous process
     CHECK(fixture.take_actions().empty());
     CHECK(fixture.versions.counts().stale_answers == 1);
-    fixture.told(2, "p2", {kSession2});
+    fixture.receive_versions(2, "p2", {kSession2});
     CHECK(fixture.take_actions() == Versions::Actions{changed_action(kSession2)});
   }
   SUBCASE("the server moves to another address") {
     fixture.listed("b", 1);
     CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt)});
-    fixture.told(1, "p1", {kSession1});
+    fixture.receive_versions(1, "p1", {kSession1});
     CHECK(fixture.take_actions().empty());
     CHECK(fixture.state() == VersionState::kUnknown);
   }
   SUBCASE("the server is removed") {
-    fixture.versions.gone(kServer);
-    fixture.told(1, "p1", {kSession1});
-    CHECK_FALSE(fixture.speaks());
+    fixture.versions.on_server_removed(kServer);
+    fixture.receive_versions(1, "p1", {kSession1});
+    CHECK_FALSE(fixture.current_dialect());
     CHECK(fixture.versions.server_count() == 0);
   }
   CHECK(fixture.versions.pinned(CallId{5}) == kSession1);
@@ -130,21 +131,21 @@
   Fixture fixture;
   fixture.listed();
   fixture.connected(1);
-  fixture.told(1, "p1", {kSession1});
+  fixture.receive_versions(1, "p1", {kSession1});
   fixture.take_actions();
-  fixture.versions.denied(fixture.now, kServer, 1, kSession1, fixture.actions);
+  fixture.versions.on_version_rejected(fixture.now, kServer, 1, kSession1, fixture.actions);
   CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt), request_action(1)});
   // A dialect that this process has rejected is not used again, even if the process announces it.
-  fixture.told(1, "p1", {kSession1});
+  fixture.receive_versions(1, "p1", {kSession1});
   CHECK(fixture.state() == VersionState::kUnsupported);
-  fixture.told(1, "p2", {kSession1});
-  CHECK(fixture.speaks() == kSession1);
+  fixture.receive_versions(1, "p2", {kSession1});
+  CHECK(fixture.current_dialect() == kSession1);
   // Rejecting an earlier dialect does not affect the current one.
-  fixture.told(1, "p3", {kSession2});
+  fixture.receive_versions(1, "p3", {kSession2});
   fixture.take_actions();
-  fixture.versions.denied(fixture.now, kServer, 1, kSession1, fixture.actions);
+  fixture.versions.on_version_rejected(fixture.now, kServer, 1, kSession1, fixture.actions);
   CHECK(fixture.take_actions().empty());
-  CHECK(fixture.speaks() == kSession2);
+  CHECK(fixture.current_dialect() == kSession2);
 }
 
 TEST_CASE("a server that does not answer is asked again after a delay that doubles up to its maximum") {
@@ -164,8 +165,8 @@
     CHECK(fixture.take_actions() == Versions::Actions{request_action(1)});
     delay = std::min<Duration>(delay * 2, VersionRules{}.max_retry_delay);
   }
-  fixture.told(1, "", {kSession1});  // late, but on the same connection
-  CHECK(fixture.speaks() == kSession1);
+  fixture.receive_versions(1, "", {kSession1});  // late, but on the same connection
+  CHECK(fixture.current_dialect() == kSession1);
 }
 
 TEST_CASE("a configured dialect overrides the server's answers until it is removed") {
@@ -173,10 +174,10 @@
   fixture.listed("a", 0, kSip);
   CHECK(fixture.take_actions() == Versions::Actions{changed_action(kSip)});
   fixture.connected(1);
-  fixture.told(1, "p", {kSession2});
-  fixture.versions.denied(fixture.now, kServer, 1, kSip, fixture.actions);
+  fixture.receive_versions(1, "p", {kSession2});
+  fixture.versions.on_version_rejected(fixture.now, kServer, 1, kSip, fixture.actions);
   CHECK(fixture.take_actions().empty());
-  CHECK(fixture.speaks() == kSip);
+  CHECK(fixture.current_dialect() == kSip);
   fixture.listed("b", 3, kSip);
   CHECK(fixture.take_actions().empty());
   fixture.listed("b", 3);
@@ -187,15 +188,15 @@
   Fixture fixture;
   fixture.listed();
   fixture.connected(1);
-  fixture.told(1, "p", {kSession1});
+  fixture.receive_versions(1, "p", {kSession1});
   fixture.take_actions();
   fixture.advance(VersionRules{}.learned_version_ttl);
   CHECK(fixture.take_actions() == Versions::Actions{request_action(1)});
-  CHECK(fixture.speaks() == kSession1);
-  fixture.versions.disconnected(fixture.now, kServer, 1);
+  CHECK(fixture.current_dialect() == kSession1);
+  fixture.versions.on_disconnected(fixture.now, kServer, 1);
   fixture.advance(VersionRules{}.learned_version_ttl);
   CHECK(fixture.take_actions() == Versions::Actions{changed_action(std::nullopt)});
-  CHECK_FALSE(fixture.versions.next_tick());
+  CHECK_FALSE(fixture.versions.next_timer());
 }
 
 // The model knows which process is behind each connection and which dialects that process speaks. Servers are
@@ -205,13 +206,13 @@
   CHECK(rc::check("versions", [] {
     struct Process {
       std::string name;
-      std::vector<DialectNo> spoken;
+      std::vector<DialectIndex> supported;
     };
     Fixture fixture;
     std::vector<Process> processes = {{"p0", {kSession1}}};
     std::map<std::uint64_t, std::size_t> connections;  // established connections and the process behind each
     std::uint64_t next_connection = 1;
-    std::set<DialectNo> announced;  // by any process in an answer on an established connection
+    std::set<DialectIndex> announced;  // by any process in an answer on an established connection
     std::deque<std::uint64_t> requests;
     std::int64_t started = 1;
     fixture.listed("a", started);
@@ -221,10 +222,10 @@
         case 0:  // the process is replaced; its connections close, the list may announce it
           connections.clear();
           processes.push_back(
-              {std::to_string(processes.size()), *rc::gen::elementOf(std::vector<std::vector<DialectNo>>{
+              {std::to_string(processes.size()), *rc::gen::elementOf(std::vector<std::vector<DialectIndex>>{
                                                      {kSession1}, {kSession2}, {kSession1, kSession2}, {}})});
           for (std::uint64_t c = 1; c < next_connection; ++c)
-            fixture.versions.disconnected(fixture.now, kServer, c);
+            fixture.versions.on_disconnected(fixture.now, kServer, c);
           if (*rc::gen::arbitrary<bool>()) fixture.listed("a", ++started);
           break;
         case 1:
@@ -235,7 +236,7 @@
           if (!connections.empty()) {
             const auto at = connections.begin()->first;
             connections.erase(at);
-            fixture.versions.disconnected(fixture.now, kServer, at);
+            fixture.versions.on_disconnected(fixture.now, kServer, at);
           }
           break;
         case 3:
@@ -245,12 +246,12 @@
             requests.pop_front();
             const auto up = connections.find(at);
             const auto& process = processes[up != connections.end() ? up->second : 0];
-            const auto before = fixture.speaks();
-            fixture.told(at, process.name, process.spoken);
+            const auto before = fixture.current_dialect();
+            fixture.receive_versions(at, process.name, process.supported);
             if (up == connections.end()) {
-              RC_ASSERT((fixture.speaks() == before));
+              RC_ASSERT((fixture.current_dialect() == before));
             } else {
-              for (const auto dialect : process.spoken) announced.insert(dialect);
+              for (const auto dialect : process.supported) announced.insert(dialect);
             }
           }
           break;
@@ -258,34 +259,34 @@
           fixture.advance(milliseconds{*rc::gen::inRange(0, 40'000)});
           break;
         case 6:
-          if (fixture.speaks() && !connections.empty()) {
-            const auto previous = *fixture.speaks();
-            fixture.versions.denied(fixture.now, kServer, connections.begin()->first, previous,
-                                    fixture.actions);
-            RC_ASSERT((!fixture.speaks()));
+          if (fixture.current_dialect() && !connections.empty()) {
+            const auto previous = *fixture.current_dialect();
+            fixture.versions.on_version_rejected(fixture.now, kServer, connections.begin()->first, previous,
+                                                 fixture.actions);
+            RC_ASSERT((!fixture.current_dialect()));
           }
           break;
         default:
           fixture.listed("a", started);  // listed again without a change
           break;
       }
-      std::optional<DialectNo> last;
+      std::optional<DialectIndex> last;
       for (const auto& action : fixture.take_actions()) {
-        if (action.what == VersionAction::What::kRequest) {
+        if (action.kind == VersionAction::Kind::kRequest) {
           RC_ASSERT((connections.contains(action.connection)));
           requests.push_back(action.connection);
         } else {
           last = action.dialect;
         }
       }
-      if (const auto now = fixture.speaks()) {
+      if (const auto now = fixture.current_dialect()) {
         RC_ASSERT((announced.contains(*now)));
         RC_ASSERT((fixture.state() == VersionState::kKnown));
       }
       // Every request has a timeout, and every delay ends.
       if (fixture.state() == VersionState::kRequesting || fixture.state() == VersionState::kUnsupported) {
-        RC_ASSERT((fixture.versions.next_tick().has_value()));
-        RC_ASSERT((*fixture.versions.next_tick() <= fixture.now + VersionRules{}.max_retry_delay));
+        RC_ASSERT((fixture.versions.next_timer().has_value()));
+        RC_ASSERT((*fixture.versions.next_timer() <= fixture.now + VersionRules{}.max_retry_delay));
       }
       if (fixture.state() == VersionState::kUnknown) RC_ASSERT((connections.empty()));
     }
@@ -315,25 +316,25 @@
   using Status = DuplicateIndex::RequestResult::Status;
   Instant now{seconds{50}};
   DuplicateIndex index(now, {});
-  CHECK(index.request(now, key(1), CallId{10}).status == Status::kNew);
-  auto result = index.request(now, key(1), CallId{11});
+  CHECK(index.on_request(now, key(1), CallId{10}).status == Status::kNew);
+  auto result = index.on_request(now, key(1), CallId{11});
   CHECK(result.status == Status::kPending);
   CHECK(result.call == CallId{10});
-  CHECK(index.answered(now, key(1), "0110 approved"));
-  CHECK_FALSE(index.answered(now, key(1), "twice"));
-  result = index.request(now, key(1), CallId{12});
+  CHECK(index.on_answer(now, key(1), "0110 approved"));
+  CHECK_FALSE(index.on_answer(now, key(1), "twice"));
+  result = index.on_request(now, key(1), CallId{12});
   CHECK(result.status == Status::kAnswered);
   CHECK(result.answer == "0110 approved");
   // The answer is too long to keep, but the request is not set up twice.
-  index.request(now, key(2), CallId{13});
-  CHECK(index.answered(now, key(2), std::string(5000, 'x')));
-  CHECK(index.request(now, key(2), CallId{14}).status == Status::kAnswerNotKept);
+  index.on_request(now, key(2), CallId{13});
+  CHECK(index.on_answer(now, key(2), std::string(5000, 'x')));
+  CHECK(index.on_request(now, key(2), CallId{14}).status == Status::kAnswerNotStored);
   // A request that was not set up at any server may be repeated as a new one.
-  index.request(now, key(3), CallId{15});
+  index.on_request(now, key(3), CallId{15});
   CHECK(index.remove_open(key(3)));
-  CHECK(index.request(now, key(3), CallId{16}).status == Status::kNew);
+  CHECK(index.on_request(now, key(3), CallId{16}).status == Status::kNew);
   now += minutes{6};
-  CHECK(index.request(now, key(1), CallId{17}).status == Status::kNew);
+  CHECK(index.on_request(now, key(1), CallId{17}).status == Status::kNew);
 }
 
 TEST_CASE("a reversal ends its request, even if it arrives first") {
@@ -343,15 +344,15 @@
   DuplicateIndex index(now, {});
   CHECK(index.reverse(now, key(1)).status == Status::kBeforeRequest);
   CHECK(index.reverse(now, key(1)).status == Status::kAlreadyReversed);
-  CHECK(index.request(now, key(1), CallId{1}).status == RequestStatus::kReversed);
-  CHECK(index.request(now, key(1), CallId{2}).status == RequestStatus::kReversed);
-  index.request(now, key(2), CallId{3});
+  CHECK(index.on_request(now, key(1), CallId{1}).status == RequestStatus::kReversed);
+  CHECK(index.on_request(now, key(1), CallId{2}).status == RequestStatus::kReversed);
+  index.on_request(now, key(2), CallId{3});
   const auto open_reversal = index.reverse(now, key(2));
   CHECK(open_reversal.status == Status::kGiveUp);
   CHECK(open_reversal.call == CallId{3});
-  CHECK_FALSE(index.answered(now, key(2), "crossed"));
-  index.request(now, key(3), CallId{4});
-  index.answered(now, key(3), "yes");
+  CHECK_FALSE(index.on_answer(now, key(2), "crossed"));
+  index.on_request(now, key(3), CallId{4});
+  index.on_answer(now, key(3), "yes");
   const auto answered_reversal = index.reverse(now, key(3));
   CHECK(answered_reversal.status == Status::kRelease);
   CHECK(answered_reversal.call == CallId{4});
@@ -366,13 +367,13 @@
   DuplicateIndex index(now, rules);
   const auto max_entries = index.max_entries();
   for (std::size_t i = 0; i < max_entries; ++i) {
-    REQUIRE(index.request(now, key(i), CallId{static_cast<std::uint32_t>(i)}).status == Status::kNew);
+    REQUIRE(index.on_request(now, key(i), CallId{static_cast<std::uint32_t>(i)}).status == Status::kNew);
   }
-  CHECK(index.request(now, key(max_entries), CallId{0}).status == Status::kIndexFull);
+  CHECK(index.on_request(now, key(max_entries), CallId{0}).status == Status::kIndexFull);
   CHECK(index.reverse(now, key(max_entries)).status == DuplicateIndex::ReversalResult::Status::kIndexFull);
-  CHECK(index.answered(now, key(3), "a"));
-  CHECK(index.answered(now, key(1), "b"));
-  CHECK(index.request(now, key(max_entries), CallId{0}).status == Status::kNew);
+  CHECK(index.on_answer(now, key(3), "a"));
+  CHECK(index.on_answer(now, key(1), "b"));
+  CHECK(index.on_request(now, key(max_entries), CallId{0}).status == Status::kNew);
   CHECK_FALSE(index.state(key(3)));  // completed first, so evicted first
   CHECK(index.state(key(1)) == RequestState::kAnswered);
   for (std::size_t i = 0; i < max_entries; ++i) {
@@ -404,7 +405,7 @@
     const auto keys = *rc::gen::elementOf(std::vector<std::uint64_t>{4, 60, 4000});
     const auto adjacent = *rc::gen::arbitrary<bool>();
     const auto key_of = [&](std::uint64_t n) { return adjacent ? RequestKey{n, n / 8} : key(n); };
-    const Duration tick = rules.over / 500;
+    const Duration tick = rules.finished_ttl / 500;
     const int steps = *rc::gen::inRange(10, 900);
     std::uint32_t next_call = 1;
     const auto evicted = [&] { return index.counts().evicted; };
@@ -416,7 +417,7 @@
       const int event = *rc::gen::inRange(0, 10);
       if (event < 5) {
         const CallId call{next_call++};
-        const auto result = index.request(now, key_of(n), call);
+        const auto result = index.on_request(now, key_of(n), call);
         const std::string answer(result.answer);
         const auto state = index.state(key_of(n));
         if (found != model.end() && result.status == Status::kNew) {
@@ -428,7 +429,7 @@
           RC_ASSERT((result.status == Status::kNew || result.status == Status::kIndexFull));
           if (result.status == Status::kNew) {
             RC_ASSERT((state == RequestState::kOpen));
-            model[n] = {RequestState::kOpen, call, {}, now + rules.open, order++};
+            model[n] = {RequestState::kOpen, call, {}, now + rules.open_ttl, order++};
           }
         } else {
           RC_ASSERT((now < expected->second.due + 2 * tick));
@@ -438,7 +439,7 @@
               RC_ASSERT((result.status == Status::kPending));
               break;
             case RequestState::kAnswered:
-              RC_ASSERT((result.status == Status::kAnswered || result.status == Status::kAnswerNotKept));
+              RC_ASSERT((result.status == Status::kAnswered || result.status == Status::kAnswerNotStored));
               if (result.status == Status::kAnswered) RC_ASSERT((answer == expected->second.answer));
               break;
             case RequestState::kReversed:
@@ -448,10 +449,11 @@
         }
       } else if (event < 7) {
         const std::string answer(*rc::gen::inRange<std::size_t>(0, 260), static_cast<char>('a' + n % 26));
-        const bool accepted = index.answered(now, key_of(n), answer);
+        const bool accepted = index.on_answer(now, key_of(n), answer);
         if (accepted) {
           RC_ASSERT((found != model.end() && found->second.state == RequestState::kOpen));
-          found->second = {RequestState::kAnswered, found->second.call, answer, now + rules.over, order++};
+          found->second = {RequestState::kAnswered, found->second.call, answer, now + rules.finished_ttl,
+                           order++};
         } else if (found != model.end() && found->second.state == RequestState::kOpen) {
           RC_ASSERT((now >= found->second.due));
           model.erase(found);
@@ -461,14 +463,15 @@
         const auto reversal = index.reverse(now, key_of(n));
         if (reversal.status == Reversal::kBeforeRequest) {
           RC_ASSERT((found == model.end() || now >= found->second.due));
-          model[n] = {RequestState::kReversed, CallId{}, {}, now + rules.over, order++};
+          model[n] = {RequestState::kReversed, CallId{}, {}, now + rules.finished_ttl, order++};
         } else if (reversal.status != Reversal::kIndexFull) {
           RC_ASSERT((found != model.end()));
           const auto state = found->second.state;
           RC_ASSERT(((reversal.status == Reversal::kGiveUp) == (state == RequestState::kOpen)));
           RC_ASSERT(((reversal.status == Reversal::kRelease) == (state == RequestState::kAnswered)));
           if (state != RequestState::kReversed) {
-            found->second = {RequestState::kReversed, found->second.call, {}, now + rules.over, order++};
+            found->second = {
+                RequestState::kReversed, found->second.call, {}, now + rules.finished_ttl, order++};
           }
         }
       } else if (event == 8) {
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -20,9 +20,9 @@
 const std::vector<std::string> kClientDialects = {"json-lines", "diameter", "iso8583"};
 const std::vector<std::string> kServerDialects = {"sip", "diameter-server", "session-1", "session-2"};
 
-Table read_operator_table(const std::string& json) {
-  Table table;
-  const auto faults = read_table(json, table);
+MappingTable read_operator_table(const std::string& json) {
+  MappingTable table;
+  const auto faults = parse_operator_table(json, table);
   for (const auto& fault : faults) MESSAGE(fault);
   REQUIRE(faults.empty());
   return table;
@@ -42,30 +42,29 @@
 
 /// Returns a random valid value of the field, often near its bounds.
 std::string random_value(const FieldSpec& field) {
-  if (field.type == Type::kWord) return *rc::gen::elementOf(field.words);
-  if (!is_textual(field.type)) {
-    const auto unit = field.type == Type::kDuration ? field.unit : 1;
-    return std::to_string(*rc::gen::inRange<std::int64_t>(field.least / unit, field.most / unit + 1));
+  if (field.type == FieldType::kWord) return *rc::gen::elementOf(field.allowed_values);
+  if (!is_text(field.type)) {
+    const auto unit = field.type == FieldType::kDuration ? field.unit : 1;
+    return std::to_string(*rc::gen::inRange<std::int64_t>(field.min / unit, field.max / unit + 1));
   }
   static const std::string kDigits = "0123456789";
   static const std::string kHex = "0123456789abcdef";
   static const std::string kToken = "09afAZ-._!~";
-  const std::string& alphabet = field.type == Type::kDigits ? kDigits
-                                : field.type == Type::kHex  ? kHex
-                                                            : kToken;
-  const auto longest = std::min<std::int64_t>(field.most, field.least + 70);
-  const auto size = *rc::gen::elementOf(std::vector<std::int64_t>{
-      field.least, longest, *rc::gen::inRange<std::int64_t>(field.least, longest + 1)});
+  const std::string& alphabet = field.type == FieldType::kDigits ? kDigits
+                                : field.type == FieldType::kHex  ? kHex
+                                                                 : kToken;
+  const auto longest = std::min<std::int64_t>(field.max, field.min + 70);
+  const auto size = *rc::gen::elementOf(
+      std::vector<std::int64_t>{field.min, longest, *rc::gen::inRange<std::int64_t>(field.min, longest + 1)});
   std::string text =
       *rc::gen::container<std::string>(static_cast<std::size_t>(size), rc::gen::elementOf(alphabet));
   // The bounds of other dialects are among the long values.
-  if (field.most > 900 && *rc::gen::inRange(0, 8) == 0)
-    text.assign(static_cast<std::size_t>(field.most), 'x');
+  if (field.max > 900 && *rc::gen::inRange(0, 8) == 0) text.assign(static_cast<std::size_t>(field.max), 'x');
   return text;
 }
 
-plain::Fields random_fields(const std::vector<FieldSpec>& fields) {
-  plain::Fields made;
+reference::Fields random_fields(const std::vector<FieldSpec>& fields) {
+  reference::Fields made;
   for (const auto& field : fields) {
     if (field.required || *rc::gen::arbitrary<bool>()) made[field.name] = random_value(field);
   }
@@ -73,12 +72,12 @@
   return made;
 }
 
-void fill(Record& record, const std::vector<FieldSpec>& fields, const plain::Fields& values) {
+void fill(Record& record, const std::vector<FieldSpec>& fields, const reference::Fields& values) {
   record.clear();
   for (std::size_t i = 0; i < fields.size(); ++i) {
     const auto found = values.find(fields[i].name);
     if (found == values.end()) continue;
-    if (is_textual(fields[i].type)) {
+    if (is_text(fields[i].type)) {
       record.set(i, std::string_view(found->second));
     } else {
       record.set(i, static_cast<std::int64_t>(std::stoll(found->second)));
@@ -86,12 +85,12 @@
   }
 }
 
-plain::Fields read(const Record& record, const std::vector<FieldSpec>& fields) {
-  plain::Fields values;
+reference::Fields read(const Record& record, const std::vector<FieldSpec>& fields) {
+  reference::Fields values;
   for (std::size_t i = 0; i < fields.size(); ++i) {
     if (!record.has(i)) continue;
     values[fields[i].name] =
-        is_textual(fields[i].type) ? std::string(record.text(i)) : std::to_string(record.number(i));
+        is_text(fields[i].type) ? std::string(record.text(i)) : std::to_string(record.number(i));
   }
   return values;
 }
@@ -109,9 +108,9 @@
 
 TEST_CASE("an invalid dialect is reported with the name of the field") {
   auto dialect = *find_dialect("session-1");
-  auto& fields = dialect.fields[static_cast<std::size_t>(Kind::kSetUp)];
+  auto& fields = dialect.fields[static_cast<std::size_t>(MessageKind::kSetUp)];
   fields.push_back(fields.front());
-  fields.push_back({"empty", Meaning::kNone, Type::kText, 5, 4, false});
+  fields.push_back({"empty", Meaning::kNone, FieldType::kText, 5, 4, false});
   dialect.errors.push_back({503, 503, "", {}});
   dialect.errors.push_back({450, 599, "", {}});
   dialect.errors.push_back({599, 500, "", {}});
@@ -130,19 +129,19 @@
 
 TEST_CASE("every pair of dialects has a mapping once the operator's table supplies the region") {
   const Translator translator(kClientDialects, kServerDialects, read_operator_table(kRegionTable));
-  for (const auto& fault : translator.faults()) FAIL_CHECK(fault);
-  for (std::size_t client = 0; client < translator.clients(); ++client) {
-    for (std::size_t server = 0; server < translator.servers(); ++server) {
-      CHECK(translator.mapping(client, static_cast<DialectNo>(server)) != nullptr);
+  for (const auto& fault : translator.mapping_errors()) FAIL_CHECK(fault);
+  for (std::size_t client = 0; client < translator.client_dialect_count(); ++client) {
+    for (std::size_t server = 0; server < translator.server_dialect_count(); ++server) {
+      CHECK(translator.mapping(client, static_cast<DialectIndex>(server)) != nullptr);
     }
   }
   const Translator without(kClientDialects, kServerDialects, {});
   CHECK(
-      has_fault(without.faults(),
+      has_fault(without.mapping_errors(),
                 "json-lines → session-2, set-up: region: is required and nothing says where it comes from"));
-  CHECK(without.faults().size() == kClientDialects.size());
-  CHECK(without.mapping(0, *without.server_no("session-1")) != nullptr);
-  CHECK(without.mapping(0, *without.server_no("session-2")) == nullptr);
+  CHECK(without.mapping_errors().size() == kClientDialects.size());
+  CHECK(without.mapping(0, *without.server_dialect_index("session-1")) != nullptr);
+  CHECK(without.mapping(0, *without.server_dialect_index("session-2")) == nullptr);
 }
 
 TEST_CASE("a mapping that does not cover all messages is rejected with the name of the field") {
@@ -188,18 +187,18 @@
   for (const auto& test_case : cases) {
     CAPTURE(test_case.name);
     std::vector<std::string> faults;
-    const auto made = compile(*find_dialect("json-lines"), *find_dialect("session-2"), Kind::kSetUp,
+    const auto made = compile(*find_dialect("json-lines"), *find_dialect("session-2"), MessageKind::kSetUp,
                               read_operator_table("{\"rows\":[" + test_case.rows + "]}"), faults);
     CHECK_FALSE(made);
     CHECK(has_fault(faults, test_case.fault));
   }
   // A field that is not carried to the target must be declared lost.
   auto rich = *find_dialect("json-lines");
-  rich.fields[0].push_back({"colour", Meaning::kNone, Type::kText, 0, 8, false});
+  rich.fields[0].push_back({"colour", Meaning::kNone, FieldType::kText, 0, 8, false});
   std::vector<std::string> faults;
-  CHECK_FALSE(compile(rich, *find_dialect("sip"), Kind::kSetUp, {}, faults));
+  CHECK_FALSE(compile(rich, *find_dialect("sip"), MessageKind::kSetUp, {}, faults));
   CHECK(has_fault(faults, "colour: is not carried to any field and not declared lost"));
-  CHECK(compile(rich, *find_dialect("sip"), Kind::kSetUp,
+  CHECK(compile(rich, *find_dialect("sip"), MessageKind::kSetUp,
                 read_operator_table(R"({"rows":[{"lost":"colour","why":"vain"}]})"), faults));
 }
 
@@ -242,8 +241,8 @@
   };
   for (const auto& [json, fault] : cases) {
     CAPTURE(json);
-    Table table;
-    CHECK(has_fault(read_table(json, table), fault));
+    MappingTable table;
+    CHECK(has_fault(parse_operator_table(json, table), fault));
     CHECK(table.rows.empty());
     CHECK(table.errors.empty());
   }
@@ -251,38 +250,38 @@
 
 TEST_CASE("a set-up keeps the value of each field, and an unlisted tenant excludes one version") {
   const Translator translator(kClientDialects, kServerDialects, read_operator_table(kRegionTable));
-  const auto& from = translator.client(0).of(Kind::kSetUp);
+  const auto& from = translator.client_dialect(0).of(MessageKind::kSetUp);
   Record in, out;
-  const plain::Fields values = {{"sid", "00112233445566aa"},
-                                {"class", "voice"},
-                                {"left", "1500"},
-                                {"tenant", "toko"},
-                                {"key", "77aa"},
-                                {"text", "v=0"},
-                                {"dest", "2"},
-                                {"again", "1"}};
+  const reference::Fields values = {{"sid", "00112233445566aa"},
+                                    {"class", "voice"},
+                                    {"left", "1500"},
+                                    {"tenant", "toko"},
+                                    {"key", "77aa"},
+                                    {"text", "v=0"},
+                                    {"dest", "2"},
+                                    {"again", "1"}};
   fill(in, from, values);
-  REQUIRE_FALSE(fault_in(from, in));
-  const auto* mapping = translator.mapping(0, *translator.server_no("session-2"));
-  REQUIRE(mapping->set_up.run(in, out));
-  CHECK(read(out, mapping->set_up.to_fields()) == plain::Fields{{"id", "00112233445566aa"},
-                                                                {"class", "voice"},
-                                                                {"number", "77aa"},
-                                                                {"description", "v=0"},
-                                                                {"waitMs", "1500"},
-                                                                {"retailer", "toko"},
-                                                                {"region", "surabaya"},
-                                                                {"again", "1"}});
+  REQUIRE_FALSE(find_invalid_field(from, in));
+  const auto* mapping = translator.mapping(0, *translator.server_dialect_index("session-2"));
+  REQUIRE(mapping->set_up.translate_record(in, out));
+  CHECK(read(out, mapping->set_up.to_fields()) == reference::Fields{{"id", "00112233445566aa"},
+                                                                    {"class", "voice"},
+                                                                    {"number", "77aa"},
+                                                                    {"description", "v=0"},
+                                                                    {"waitMs", "1500"},
+                                                                    {"retailer", "toko"},
+                                                                    {"region", "surabaya"},
+                                                                    {"again", "1"}});
   // A tenant that is not in the table makes the call ineligible for that version only.
   auto unlisted = values;
   unlisted["tenant"] = "warung";
   fill(in, from, unlisted);
   const auto eligibility = translator.rule(0, in, out);
-  const auto two = *translator.server_no("session-2");
-  CHECK(eligibility.ineligible == set_of(two));
+  const auto two = *translator.server_dialect_index("session-2");
+  CHECK(eligibility.ineligible == version_set(two));
   CHECK(eligibility.results[static_cast<std::size_t>(two)].failure == MappingFailure::kNotInTable);
-  CHECK(translator.server(two)
-            .of(Kind::kSetUp)[eligibility.results[static_cast<std::size_t>(two)].field]
+  CHECK(translator.server_dialect(two)
+            .of(MessageKind::kSetUp)[eligibility.results[static_cast<std::size_t>(two)].field]
             .name == "region");
 }
 
@@ -301,8 +300,9 @@
     const auto table = read_operator_table(json);
     for (const auto& client : kClientDialects) {
       for (const auto& server : kServerDialects) {
-        for (const Kind kind : {Kind::kSetUp, Kind::kAnswer, Kind::kGiveUp, Kind::kRelease}) {
-          const bool back = kind == Kind::kAnswer;
+        for (const MessageKind kind :
+             {MessageKind::kSetUp, MessageKind::kAnswer, MessageKind::kGiveUp, MessageKind::kRelease}) {
+          const bool back = kind == MessageKind::kAnswer;
           const auto& from = *find_dialect(back ? server : client);
           const auto& to = *find_dialect(back ? client : server);
           CAPTURE(from.name + " to " + to.name + " " + std::string(name_of(kind)));
@@ -310,19 +310,19 @@
           const auto program = compile(from, to, kind, table, faults);
           for (const auto& fault : faults) FAIL_CHECK(fault);
           REQUIRE(program);
-          const plain::Interpreter interpreter(from, to, kind, table);
+          const reference::Interpreter interpreter(from, to, kind, table);
           Record in, out;
           const bool agree = rc::check(from.name + "-" + to.name, [&] {
             const auto values = random_fields(from.of(kind));
             fill(in, from.of(kind), values);
-            RC_ASSERT((!fault_in(from.of(kind), in)));
-            const auto result = program->run(in, out);
+            RC_ASSERT((!find_invalid_field(from.of(kind), in)));
+            const auto result = program->translate_record(in, out);
             std::string failed_field;
-            const auto expected = interpreter.run(values, failed_field);
+            const auto expected = interpreter.translate_fields(values, failed_field);
             RC_ASSERT((static_cast<bool>(result) == expected.has_value()));
             if (result) {
               RC_ASSERT((read(out, to.of(kind)) == *expected));
-              RC_ASSERT((!fault_in(to.of(kind), out)));
+              RC_ASSERT((!find_invalid_field(to.of(kind), out)));
             } else {
               RC_ASSERT((to.of(kind)[result.field].name == failed_field));
             }
@@ -338,21 +338,21 @@
   Dialect from, to;
   from.name = "from";
   to.name = "to";
-  from.fields[0] = {{"ms", Meaning::kPatience, Type::kDuration, 1000, 600'000'000, true, 1000}};
-  to.fields[0] = {{"s", Meaning::kPatience, Type::kDuration, 0, 600'000'000, true, 1'000'000}};
+  from.fields[0] = {{"ms", Meaning::kRemainingWait, FieldType::kDuration, 1000, 600'000'000, true, 1000}};
+  to.fields[0] = {{"s", Meaning::kRemainingWait, FieldType::kDuration, 0, 600'000'000, true, 1'000'000}};
   std::vector<std::string> faults;
-  CHECK_FALSE(compile(from, to, Kind::kSetUp, {},
+  CHECK_FALSE(compile(from, to, MessageKind::kSetUp, {},
                       faults));  // a scaled value is not proven to be valid, so otherwise is required
-  const Table table{{Row{"*", "*", Kind::kSetUp, "s", Copy{"ms"}, NotEligible{}}}, {}};
+  const MappingTable table{{MappingRow{"*", "*", MessageKind::kSetUp, "s", Copy{"ms"}, NotEligible{}}}, {}};
   faults.clear();
-  const auto program = compile(from, to, Kind::kSetUp, table, faults);
+  const auto program = compile(from, to, MessageKind::kSetUp, table, faults);
   REQUIRE(program);
   Record in, out;
   for (const auto& [ms, s] :
        std::vector<std::pair<std::int64_t, std::int64_t>>{{1, 0}, {999, 0}, {1999, 1}, {600'000, 600}}) {
     in.clear();
     in.set(0, ms);
-    REQUIRE(program->run(in, out));
+    REQUIRE(program->translate_record(in, out));
     CHECK(out.number(0) == s);
   }
 }
@@ -369,33 +369,34 @@
       const bool in_range = std::any_of(
           dialect.errors.begin(), dialect.errors.end(),
           [code](const auto& error) { return error.from <= code && code <= error.to && error.name.empty(); });
-      if (!is_listed && !in_range) CHECK(meaning == ErrorMeaning{});
-      if (!in_range) CHECK(meaning.ran == Ran::kMaybe);
+      if (!is_listed && !in_range) CHECK(meaning == ErrorClassification{});
+      if (!in_range) CHECK(meaning.execution_state == ExecutionState::kMayHaveExecuted);
     }
     for (const auto& error : dialect.errors) {
       if (error.from == error.to) CHECK(meaning_of(dialect, error.from, error.name) == error.meaning);
       // An error with an unknown name has the meaning of its code.
       CHECK(meaning_of(dialect, error.from, "unheard-of") == meaning_of(dialect, error.from));
       const auto verdict = verdict_of(error.meaning);
-      if (error.meaning.about != About::kServer) CHECK(verdict.is_caller_fault);
-      if (error.meaning.ran == Ran::kMaybe) {
+      if (error.meaning.scope != ErrorScope::kServer) CHECK(verdict.is_caller_fault);
+      if (error.meaning.execution_state == ExecutionState::kMayHaveExecuted) {
         CHECK(verdict.outcome != Outcome::kFull);
         CHECK(verdict.outcome != Outcome::kNotSent);
       }
       for (const auto& client : kClientDialects) {
         const auto& client_dialect = *find_dialect(client);
-        const auto& reason_code = word_for(client_dialect, error.meaning.reason);
-        CHECK(facts_of(reason_code.reason).final_answer == facts_of(error.meaning.reason).final_answer);
+        const auto& reason_code = code_for_reason(client_dialect, error.meaning.reason);
+        CHECK(info_of(reason_code.reason).final_answer == info_of(error.meaning.reason).final_answer);
       }
     }
   }
   // On JSON lines exactly the causes 34, 42 and 102 stand for a rejection.
   const auto& json = *find_dialect("json-lines");
-  for (std::size_t i = 0; i < kReasons; ++i) {
+  for (std::size_t i = 0; i < kReasonCount; ++i) {
     const auto reason = static_cast<Reason>(i);
-    const auto code = word_for(json, reason).code;
-    CHECK((code == 34 || code == 42 || code == 102) == (facts_of(reason).final_answer == Final::kRejected));
-    CHECK(reason_of(name_of(reason)) == reason);
+    const auto code = code_for_reason(json, reason).code;
+    CHECK((code == 34 || code == 42 || code == 102) ==
+          (info_of(reason).final_answer == FinalAnswerKind::kRejected));
+    CHECK(reason_from_name(name_of(reason)) == reason);
   }
 }
 
@@ -413,31 +414,34 @@
 }
 
 TEST_CASE("a call may go to other versions, and its caller gets the most specific reason") {
-  const auto session_1 = DialectNo{2};
-  const auto session_2 = DialectNo{3};
-  core::Placement call(set_of(DialectNo{0}) | set_of(DialectNo{1}));
+  const auto session_1 = DialectIndex{2};
+  const auto session_2 = DialectIndex{3};
+  core::AttemptHistory call(version_set(DialectIndex{0}) | version_set(DialectIndex{1}));
   CHECK_FALSE(call.is_unroutable(0));  // no server's dialect is known yet
-  CHECK_FALSE(call.is_unroutable(set_of(session_1)));
-  CHECK(call.is_unroutable(set_of(DialectNo{0})));
+  CHECK_FALSE(call.is_unroutable(version_set(session_1)));
+  CHECK(call.is_unroutable(version_set(DialectIndex{0})));
   CHECK(call.reason(Reason::kTimeout) == Reason::kTimeout);
-  auto verdict =
-      call.on_attempt_ended(session_1, {Reason::kCongestion, Ran::kNo, About::kServer}, seconds{4});
+  auto verdict = call.on_attempt_ended(
+      session_1, {Reason::kCongestion, ExecutionState::kNotExecuted, ErrorScope::kServer}, seconds{4});
   CHECK(verdict.outcome == Outcome::kFull);
   CHECK_FALSE(verdict.is_caller_fault);
-  verdict = call.on_attempt_ended(session_1, {Reason::kNoCircuit, Ran::kNo, About::kServer}, seconds{2});
+  verdict = call.on_attempt_ended(
+      session_1, {Reason::kNoCircuit, ExecutionState::kNotExecuted, ErrorScope::kServer}, seconds{2});
   CHECK(call.retry_after() == seconds{2});
   CHECK(call.reason(Reason::kCongestion) == Reason::kNoCircuit);
   CHECK(call.reason(Reason::kNoCompatibleServer) == Reason::kNoCompatibleServer);
-  verdict = call.on_attempt_ended(session_2, {Reason::kFieldRejected, Ran::kNo, About::kVersion});
+  verdict = call.on_attempt_ended(
+      session_2, {Reason::kFieldRejected, ExecutionState::kNotExecuted, ErrorScope::kVersion});
   CHECK(verdict.outcome == Outcome::kNotSent);
   CHECK(verdict.is_caller_fault);
   CHECK(verdict.excludes_version);
-  CHECK_FALSE(verdict.final_now);
-  CHECK_FALSE(call.is_unroutable(set_of(session_1) | set_of(session_2)));
-  CHECK(call.is_unroutable(set_of(session_2)));
+  CHECK_FALSE(verdict.answer_immediately);
+  CHECK_FALSE(call.is_unroutable(version_set(session_1) | version_set(session_2)));
+  CHECK(call.is_unroutable(version_set(session_2)));
   CHECK(call.reason(Reason::kCongestion) == Reason::kFieldRejected);
-  verdict = call.on_attempt_ended(session_1, {Reason::kTenantSuspended, Ran::kNo, About::kCall});
-  CHECK(verdict.final_now);
+  verdict = call.on_attempt_ended(
+      session_1, {Reason::kTenantSuspended, ExecutionState::kNotExecuted, ErrorScope::kCall});
+  CHECK(verdict.answer_immediately);
   CHECK(call.reason(Reason::kCongestion) == Reason::kTenantSuspended);
 }
 
--- a/tests/versions_guard_test.cpp
+++ b/tests/versions_guard_test.cpp
@@ -35,7 +35,7 @@
   ended.attempt = attempt;
   ended.outcome = Outcome::kNotSent;
   ended.is_caller_fault = true;
-  ended.excludes_versions = excludes_versions;
+  ended.newly_excluded_versions = excludes_versions;
   return ended;
 }
 
--- a/tests/wire_format.hpp
+++ b/tests/wire_format.hpp
@@ -9,7 +9,7 @@
 namespace amberknot::tests {
 
 /// Bytes as lower-case hex digits.
-inline std::string hex_of(std::string_view bytes) {
+inline std::string to_hex(std::string_view bytes) {
   std::string hex;
   for (const char byte : bytes) {
     char digits[3];
@@ -30,10 +30,10 @@
   return text;
 }
 
-/// Returns the bytes received so far and empties `in`.
-inline std::string taken_from(std::string& in) {
+/// Returns the bytes received so far and empties `received`.
+inline std::string take_all(std::string& received) {
   std::string bytes;
-  bytes.swap(in);
+  bytes.swap(received);
   return bytes;
 }
 
--- a/tests/wire_format_admin_test.cpp
+++ b/tests/wire_format_admin_test.cpp
@@ -9,63 +9,64 @@
 namespace amberknot::tests {
 namespace {
 
-struct AdminServerFixture : Bench {
+struct AdminServerFixture : RouterFixture {
   static app::Config config_with_admin_server() {
-    auto config = bench_config();
-    config.control = asio::ip::tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0};
+    auto config = router_config();
+    config.admin_listen = asio::ip::tcp::endpoint{asio::ip::make_address("127.0.0.1"), 0};
     return config;
   }
-  explicit AdminServerFixture(const app::Config& config = config_with_admin_server()) : Bench({}, config) {}
+  explicit AdminServerFixture(const app::Config& config = config_with_admin_server())
+      : RouterFixture({}, config) {}
   /// Sends a line on a new connection and returns the whole reply.
   std::string reply_to(const std::string& line) {
     auto client = connect(*router->admin_endpoint());
     client->stream->send(line);
-    until([&] { return client->closed; });
-    return client->in;
+    run_until([&] { return client->closed; });
+    return client->received;
   }
 };
 
 }  // namespace
 
 TEST_CASE("admin reply bytes: status, standby and active") {
-  AdminServerFixture bench;
-  CHECK(bench.reply_to("status\n") == "+OK yes\n");
-  CHECK(bench.reply_to("standby\n") == "+OK standby\n");
-  CHECK(bench.reply_to("status\n") == "-ERR no: standby\n");
-  CHECK(bench.reply_to("active\n") == "+OK active\n");
-  CHECK(bench.reply_to("status\n") == "+OK yes\n");
+  AdminServerFixture fixture;
+  CHECK(fixture.reply_to("status\n") == "+OK yes\n");
+  CHECK(fixture.reply_to("standby\n") == "+OK standby\n");
+  CHECK(fixture.reply_to("status\n") == "-ERR no: standby\n");
+  CHECK(fixture.reply_to("active\n") == "+OK active\n");
+  CHECK(fixture.reply_to("status\n") == "+OK yes\n");
 }
 
 TEST_CASE("admin reply bytes: status of a router that is stopping") {
-  AdminServerFixture bench;
-  bench.list();
-  bench.standing("9b1f03aa5c7e2d41");
-  bench.router->shut_down([] {});
-  CHECK(bench.reply_to("status\n") == "-ERR no: stopping\n");
+  AdminServerFixture fixture;
+  fixture.announce_server();
+  fixture.establish_call("9b1f03aa5c7e2d41");
+  fixture.router->shut_down([] {});
+  CHECK(fixture.reply_to("status\n") == "-ERR no: stopping\n");
 }
 
 TEST_CASE("admin reply bytes: a line that is not a command") {
-  AdminServerFixture bench;
-  CHECK(bench.reply_to("\n") == "-ERR empty line\n");
-  CHECK(bench.reply_to("reboot \x01\x7f now\n") == "-ERR unknown call: reboot ?? now\n");
-  CHECK(bench.reply_to(std::string(40, 'x') + "\n") ==
+  AdminServerFixture fixture;
+  CHECK(fixture.reply_to("\n") == "-ERR empty line\n");
+  CHECK(fixture.reply_to("reboot \x01\x7f now\n") == "-ERR unknown call: reboot ?? now\n");
+  CHECK(fixture.reply_to(std::string(40, 'x') + "\n") ==
         "-ERR unknown call: xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx\n");
-  CHECK(bench.reply_to(std::string(257, 'x') + "\n") == "-ERR line too long\n");
+  CHECK(fixture.reply_to(std::string(257, 'x') + "\n") == "-ERR line too long\n");
 }
 
 TEST_CASE("statsd line bytes: the counters of a running router in the reply to stats") {
   auto config = AdminServerFixture::config_with_admin_server();
   for (auto& call_class : config.settings.classes) call_class.idempotent = false;
-  AdminServerFixture bench(config);
-  bench.list();
-  bench.list(EndpointState::kDraining, 0, "s2");
-  bench.standing("9b1f03aa5c7e2d41");
-  bench.open("9b1f03aa5c7e2d42");
-  bench.invited("9b1f03aa5c7e2d42")
-      .stream->send(Bench::sip("SIP/2.0 500 Error", "9b1f03aa5c7e2d42", "1 INVITE"));
-  bench.until([&] { return bench.caller->has("\"close\""); });
-  bench.router->reload_failed("a trial");
-  CHECK(bench.reply_to("stats\n") ==
+  AdminServerFixture fixture(config);
+  fixture.announce_server();
+  fixture.announce_server(EndpointState::kDraining, 0, "s2");
+  fixture.establish_call("9b1f03aa5c7e2d41");
+  fixture.send_set_up("9b1f03aa5c7e2d42");
+  fixture.wait_for_invite("9b1f03aa5c7e2d42")
+      .stream->send(RouterFixture::sip_message("SIP/2.0 500 Error", "9b1f03aa5c7e2d42", "1 INVITE"));
+  fixture.run_until([&] { return fixture.caller->has_received("\"close\""); });
+  fixture.router->on_reload_failed("a trial");
+  CHECK(fixture.reply_to("stats\n") ==
         "+OK\n"
         "router.fulfilled.voice:1|c\n"
         "router.throttled.voice:0|c\n"
--- a/tests/wire_format_diameter.hpp
+++ b/tests/wire_format_diameter.hpp
@@ -20,7 +20,7 @@
 
 /// Parses a message, which must be complete. It refers to `bytes`.
 inline diameter::Message parse_message(const std::string& bytes) {
-  const auto read = diameter::read_message(bytes, net::kMaxMessage);
+  const auto read = diameter::read_message(bytes, net::kMaxMessageBytes);
   REQUIRE(read.state == diameter::ReadResult::State::kComplete);
   return read.message;
 }
@@ -40,10 +40,10 @@
       message[17] = static_cast<char>(message[17] & 0x0f);
     }
     mask_state_id(message);
-    std::string text = hex_of(message.substr(0, kHeaderSize));
+    std::string text = to_hex(message.substr(0, kHeaderSize));
     for (std::size_t offset = kHeaderSize; offset + 8 <= message.size();) {
       const auto size = (integer_at(message, offset + 5, 3) + 3) / 4 * 4;
-      text += "\n" + hex_of(message.substr(offset, size));
+      text += "\n" + to_hex(message.substr(offset, size));
       offset += std::max<std::size_t>(size, 8);
     }
     return text;
@@ -73,16 +73,16 @@
   file.diameter.emplace();
   file.diameter->origin_host = "n0.kartu.example";
   file.diameter->origin_realm = "kartu.example";
-  file.diameter->watchdog = watchdog;
+  file.diameter->watchdog_interval = watchdog;
   return file;
 }
 
 /// Waits for the next message of the router on a connection and removes it from the received bytes.
-inline std::string next_message(Bench& bench, End& end) {
-  const auto size = [&] { return end.in.size() < 4 ? 4 : integer_at(end.in, 1, 3); };
-  bench.until([&] { return end.in.size() >= 4 && end.in.size() >= size(); });
-  auto message = end.in.substr(0, size());
-  end.in.erase(0, message.size());
+inline std::string next_message(RouterFixture& fixture, TestConnection& end) {
+  const auto size = [&] { return end.received.size() < 4 ? 4 : integer_at(end.received, 1, 3); };
+  fixture.run_until([&] { return end.received.size() >= 4 && end.received.size() >= size(); });
+  auto message = end.received.substr(0, size());
+  end.received.erase(0, message.size());
   return message;
 }
 
--- a/tests/wire_format_diameter_client_test.cpp
+++ b/tests/wire_format_diameter_client_test.cpp
@@ -22,9 +22,9 @@
 }
 
 /// A router with a SIP server, and a Diameter client that sends only the messages of the test.
-struct DiameterClientFixture : Bench {
-  explicit DiameterClientFixture(const app::Config& config = bench_config())
-      : Bench(operator_file_with_clients(), config), client(connect(*router->diameter_at())) {}
+struct DiameterClientFixture : RouterFixture {
+  explicit DiameterClientFixture(const app::Config& config = router_config())
+      : RouterFixture(operator_file_with_clients(), config), client(connect(*router->diameter_endpoint())) {}
   std::string next_message_text() { return formatter.format(next_message(*this, *client)); }
   void send(Writer& writer) { client->stream->send(writer.finish()); }
   /// Sends a capabilities exchange request and returns the answer.
@@ -67,16 +67,16 @@
     return id;
   }
   /// Establishes a call and returns the server's connection.
-  End& establish_call() {
-    list();
+  TestConnection& establish_call() {
+    announce_server();
     send_initial_request("2000");
-    auto& end = invited(call_id());
+    auto& end = wait_for_invite(call_id());
     answer(end, call_id(), "sdp");
     return end;
   }
 
   DiameterFormatter formatter;
-  std::unique_ptr<End> client;
+  std::unique_ptr<TestConnection> client;
 };
 
 }  // namespace
@@ -188,8 +188,8 @@
   fixture.exchange_capabilities();
   auto& server = fixture.establish_call();
   fixture.next_message_text();
-  server.stream->send(
-      Bench::sip("BYE sip:77aa@net SIP/2.0", fixture.call_id(), "1 BYE", "Reason: Q.850;cause=16\r\n"));
+  server.stream->send(RouterFixture::sip_message("BYE sip:77aa@net SIP/2.0", fixture.call_id(), "1 BYE",
+                                                 "Reason: Q.850;cause=16\r\n"));
   CHECK(fixture.next_message_text() ==
         "01000080c0000112000000040000000100000000\n"          // header
         "000001074000000e74696c6c3b310000\n"                  // Session-Id
@@ -221,10 +221,11 @@
 TEST_CASE("Diameter client bytes: a call rejected by the only server, with a retry delay") {
   DiameterClientFixture fixture;
   fixture.exchange_capabilities();
-  fixture.list();
+  fixture.announce_server();
   fixture.send_initial_request("300");
-  fixture.invited(fixture.call_id())
-      .stream->send(Bench::sip("SIP/2.0 503 Full", fixture.call_id(), "1 INVITE", "X-Diagnosis: atb\r\n"));
+  fixture.wait_for_invite(fixture.call_id())
+      .stream->send(RouterFixture::sip_message("SIP/2.0 503 Full", fixture.call_id(), "1 INVITE",
+                                               "X-Diagnosis: atb\r\n"));
   CHECK(fixture.next_message_text() ==
         "010000dc6000011000000004aabbccdd11223344\n"                        // header
         "000001074000000e74696c6c3b310000\n"                                // Session-Id
@@ -241,14 +242,14 @@
 }
 
 TEST_CASE("Diameter client bytes: a call that failed at its server") {
-  auto config = bench_config();
+  auto config = router_config();
   for (auto& call_class : config.settings.classes) call_class.idempotent = false;
   DiameterClientFixture fixture(config);
   fixture.exchange_capabilities();
-  fixture.list();
+  fixture.announce_server();
   fixture.send_initial_request("2000");
-  fixture.invited(fixture.call_id())
-      .stream->send(Bench::sip("SIP/2.0 500 Error", fixture.call_id(), "1 INVITE"));
+  fixture.wait_for_invite(fixture.call_id())
+      .stream->send(RouterFixture::sip_message("SIP/2.0 500 Error", fixture.call_id(), "1 INVITE"));
   CHECK(fixture.next_message_text() ==
         "010000a04000011000000004aabbccdd11223344\n"                  // header
         "000001074000000e74696c6c3b310000\n"                          // Session-Id
--- a/tests/wire_format_diameter_server_test.cpp
+++ b/tests/wire_format_diameter_server_test.cpp
@@ -19,31 +19,33 @@
 }
 
 /// A router and its connection to a Diameter server, which sends only the messages of the test.
-struct DiameterServerFixture : Bench {
+struct DiameterServerFixture : RouterFixture {
   explicit DiameterServerFixture(milliseconds watchdog = std::chrono::seconds{30})
-      : Bench(operator_file_with_servers(watchdog)) {
-    list();
-    until([&] { return !server.ends.empty(); });
+      : RouterFixture(operator_file_with_servers(watchdog)) {
+    announce_server();
+    run_until([&] { return !server.connections.empty(); });
     capabilities_request = next_router_message();
     capabilities_request_text = formatter.format(capabilities_request);
     auto cea = Writer::answer(parse_message(capabilities_request), ResultCode::kSuccess);
     send(cea.add(AvpCode::kOriginHost, "s1.acme").add(AvpCode::kOriginRealm, "acme"));
   }
-  End& peer() { return *server.ends.back(); }
+  TestConnection& peer() { return *server.connections.back(); }
   std::string next_router_message() { return next_message(*this, peer()); }
   std::string next_message_text() { return formatter.format(next_router_message()); }
   void send(Writer& writer) { peer().stream->send(writer.finish()); }
   /// Opens a call and returns its request, whose last four bytes are the remaining time in milliseconds.
   std::string initial_request() {
-    open(kCallId, 5000);
+    send_set_up(kCallId, 5000);
     return next_router_message();
   }
   void accept(const std::string& request) {
     auto cca = Writer::answer(parse_message(request), ResultCode::kSuccess);
     send(cca.add(AvpCode::kOriginHost, "s1.acme").add_parameter(ServiceParameter::kDescription, "sdp"));
-    until([&] { return caller->has("\"ready\""); });
+    run_until([&] { return caller->has_received("\"ready\""); });
+  }
+  void release() {
+    send_from_caller("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":16}\n");
   }
-  void release() { say("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":16}\n"); }
   Writer request(Command command, std::uint32_t application) {
     return Writer::request(command, application, 0xaabbccdd, 0x11223344);
   }
--- a/tests/wire_format_discovery_test.cpp
+++ b/tests/wire_format_discovery_test.cpp
@@ -11,12 +11,12 @@
 }  // namespace
 
 TEST_CASE("command channel bytes: the first request, and the request that resumes after an event") {
-  auto config = bench_config();
-  config.cursor = 41;
-  Bench bench({}, config);
-  bench.until([&] { return bench.channel.with(kHeaderEnd) != nullptr; });
-  auto& first_connection = *bench.channel.with(kHeaderEnd);
-  CHECK(mask_digits_after(taken_from(first_connection.in), "Host: 127.0.0.1:") ==
+  auto config = router_config();
+  config.last_event_id = 41;
+  RouterFixture fixture({}, config);
+  fixture.run_until([&] { return fixture.command_channel.find_connection_with(kHeaderEnd) != nullptr; });
+  auto& first_connection = *fixture.command_channel.find_connection_with(kHeaderEnd);
+  CHECK(mask_digits_after(take_all(first_connection.received), "Host: 127.0.0.1:") ==
         "GET /cmd/next HTTP/1.1\r\n"
         "Host: 127.0.0.1:*\r\n"
         "Accept: text/event-stream\r\n"
@@ -25,10 +25,11 @@
   first_connection.stream->send(
       "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nid: 42\n"
       "data: {\"cursor\":42,\"nodes\":{\"index\":8,\"snapshot\":false,\"endpoints\":[]}}\n\n");
-  bench.until([&] { return bench.router->counters().endpoint_events > 0; });
-  first_connection.stream->finish();
-  bench.until([&] { return bench.channel.with(kHeaderEnd) != nullptr; });
-  CHECK(mask_digits_after(bench.channel.with(kHeaderEnd)->in, "Host: 127.0.0.1:") ==
+  fixture.run_until([&] { return fixture.router->counters().endpoint_events > 0; });
+  first_connection.stream->close_after_flush();
+  fixture.run_until([&] { return fixture.command_channel.find_connection_with(kHeaderEnd) != nullptr; });
+  CHECK(mask_digits_after(fixture.command_channel.find_connection_with(kHeaderEnd)->received,
+                          "Host: 127.0.0.1:") ==
         "GET /cmd/next HTTP/1.1\r\n"
         "Host: 127.0.0.1:*\r\n"
         "Accept: text/event-stream\r\n"
--- a/tests/wire_format_iso8583_test.cpp
+++ b/tests/wire_format_iso8583_test.cpp
@@ -21,7 +21,7 @@
   message.set(44, "v=0\r\nx");  // LLVAR text
   message.set(48, "d");         // LLLVAR text
   message.set(52, std::string_view("\x00\x01\x02\x03\xfc\xfd\xfe\xff", 8));
-  CHECK(hex_of(iso8583::write(message)) ==
+  CHECK(to_hex(iso8583::write(message)) ==
         "0080"              // length
         "30323130"          // type
         "702000102a911000"  // bitmap
@@ -38,7 +38,7 @@
   message.set(90, "020000012312020546");  // padded to 42 digits
   message.set(102, "77aa");
   message.set(128, "macmacma");
-  CHECK(hex_of(iso8583::write(message)) ==
+  CHECK(to_hex(iso8583::write(message)) ==
         "0052"                              // length
         "30343230"                          // type
         "80200000000000000000004004000001"  // bitmaps
--- a/tests/wire_format_session_api_test.cpp
+++ b/tests/wire_format_session_api_test.cpp
@@ -16,7 +16,7 @@
   app::OperatorFile file;
   file.session_api.emplace();
   file.session_api->servers["*"] = version;
-  const auto faults = translate::read_table(
+  const auto faults = translate::parse_operator_table(
       R"({"rows":[{"to":"session-2","field":"region","by":"@tenant","table":{"acme":"jakarta"},)"
       R"("otherwise":"not-eligible"}]})",
       file.translate);
@@ -66,24 +66,25 @@
   std::pair<Peer*, std::int32_t> event_stream{};
 };
 
-struct SessionApiWireFixture : Bench {
+struct SessionApiWireFixture : RouterFixture {
   explicit SessionApiWireFixture(const std::string& version)
-      : Bench(make_operator_file(version)), session_server(loop, R"({"versions":[1,2],"process":"p1"})") {
+      : RouterFixture(make_operator_file(version)),
+        session_server(loop, R"({"versions":[1,2],"process":"p1"})") {
     discovery::EndpointUpdate update;
-    update.has_servers = true;
+    update.has_endpoint_list = true;
     update.changes.push_back({"s1", session_server.http2.address(), 0, EndpointState::kReady, 0});
-    router->apply(update);
+    router->apply_endpoint_update(update);
     request_with("/events");
   }
   /// Waits for a request that contains the text and returns it.
   std::string request_with(std::string_view text) {
-    until([&] { return session_server.request_with(text) != nullptr; });
+    run_until([&] { return session_server.request_with(text) != nullptr; });
     return *session_server.request_with(text);
   }
   /// Establishes a call and returns the request for its set-up.
   std::string set_up_request() {
-    open(kCallId, 2000, "v=0\\r\\n\\\"q\\\" \\u00e9/");
-    until([&] { return caller->has("\"ready\""); });
+    send_set_up(kCallId, 2000, "v=0\\r\\n\\\"q\\\" \\u00e9/");
+    run_until([&] { return caller->has_received("\"ready\""); });
     return request_with("POST");
   }
 
@@ -97,16 +98,16 @@
   constexpr std::size_t kFrameHeaderSize = 9;
   constexpr std::size_t kSettingSize = 6;
   constexpr std::size_t kSettingCount = 3;
-  Bench fixture(make_operator_file("learn"));
-  fixture.list();
+  RouterFixture fixture(make_operator_file("learn"));
+  fixture.announce_server();
   const auto settings_size = kFrameHeaderSize + kSettingCount * kSettingSize;
-  fixture.until([&] {
-    return !fixture.server.ends.empty() &&
-           fixture.server.ends[0]->in.size() >= preface.size() + settings_size;
+  fixture.run_until([&] {
+    return !fixture.server.connections.empty() &&
+           fixture.server.connections[0]->received.size() >= preface.size() + settings_size;
   });
-  const auto& received = fixture.server.ends[0]->in;
+  const auto& received = fixture.server.connections[0]->received;
   CHECK(received.substr(0, preface.size()) == preface);
-  CHECK(hex_of(received.substr(preface.size(), settings_size)) ==
+  CHECK(to_hex(received.substr(preface.size(), settings_size)) ==
         "000012040000000000"  // 18 bytes of SETTINGS on stream 0
         "000200000000"        // SETTINGS_ENABLE_PUSH
         "000300000000"        // SETTINGS_MAX_CONCURRENT_STREAMS
@@ -144,7 +145,7 @@
         "\n"
         R"({"id":"9b1f03aa5c7e2d41","class":"voice","number":"77aa","description":"v=0\r\n\"q\" é/",)"
         R"("waitMs":*,"retailer":"acme","region":"jakarta","again":0})");
-  fixture.say("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":16}\n");
+  fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":16}\n");
   CHECK(fixture.request_with("DELETE") ==
         ":authority: 127.0.0.1:*\n"
         ":method: DELETE\n"
@@ -172,7 +173,7 @@
   fixture.set_up_request();
   auto& event_stream = fixture.session_server.event_stream;
   event_stream.first->send_data(event_stream.second, "id: 7\nevent: load\ndata: {\"x0\":1}\n\n");
-  fixture.until([&] { return fixture.router->counters().load_reports > 0; });
+  fixture.run_until([&] { return fixture.router->counters().load_reports > 0; });
   fixture.session_server.requests.clear();
   event_stream.first->send_data(event_stream.second, "", true);
   CHECK(fixture.request_with("/events") ==
@@ -193,7 +194,7 @@
 }
 
 TEST_CASE("session API bytes: every field of a set-up of version 2") {
-  const auto& fields = translate::find_dialect("session-2")->of(translate::Kind::kSetUp);
+  const auto& fields = translate::find_dialect("session-2")->of(translate::MessageKind::kSetUp);
   translate::Record record;
   const auto set_field = [&](std::string_view name, const auto& value) {
     record.set(translate::index_of(fields, name), value);
--- a/tests/wire_format_simulator_test.cpp
+++ b/tests/wire_format_simulator_test.cpp
@@ -14,7 +14,7 @@
   simhost::ReplyWriter writer;
   for (const auto& action : actions) writer.add(action);
   const auto bytes = writer.finish();
-  return hex_of({reinterpret_cast<const char*>(bytes.data()), bytes.size()});
+  return to_hex({reinterpret_cast<const char*>(bytes.data()), bytes.size()});
 }
 
 }  // namespace
@@ -63,7 +63,7 @@
   writer.select_instance(0x04030201);
   writer.add_panic("no");
   const auto bytes = writer.finish();
-  CHECK(hex_of({reinterpret_cast<const char*>(bytes.data()), bytes.size()}) ==
+  CHECK(to_hex({reinterpret_cast<const char*>(bytes.data()), bytes.size()}) ==
         "8d00000005000000"
         "0d0300000000000000000000000000000000000000000000"
         "08ffffffff00000000020000000000000000000000000000"
--- a/tests/wire_format_sip_test.cpp
+++ b/tests/wire_format_sip_test.cpp
@@ -10,23 +10,23 @@
 
 /// Waits for a complete head that begins with the text, and takes out and returns everything that the server
 /// received on that connection. The remaining time of an INVITE is masked, because it depends on the clock.
-std::string message_with(Bench& bench, std::string_view start) {
-  const auto has_head = [&](const End* end) {
-    return end != nullptr && end->in.find("\r\n\r\n", end->in.find(start)) != std::string::npos;
+std::string message_with(RouterFixture& fixture, std::string_view start) {
+  const auto has_head = [&](const TestConnection* end) {
+    return end != nullptr && end->received.find("\r\n\r\n", end->received.find(start)) != std::string::npos;
   };
-  bench.until([&] { return has_head(bench.server.with(start)); });
-  return mask_digits_after(taken_from(bench.server.with(start)->in), "X-Timer-Ms: ");
+  fixture.run_until([&] { return has_head(fixture.server.find_connection_with(start)); });
+  return mask_digits_after(take_all(fixture.server.find_connection_with(start)->received), "X-Timer-Ms: ");
 }
 
 }  // namespace
 
 TEST_CASE("SIP bytes: INVITE, ACK and BYE of a call that its caller releases") {
-  Bench bench;
-  bench.list();
-  bench.open(kCallId, 2000, "c=IN IP4 10.4.7.9\\r\\nm=audio 31000 RTP/AVP 0 8 101\\r\\n");
-  auto& server = bench.invited(kCallId);
-  bench.until([&] { return server.has("RTP/AVP 0 8 101\r\n"); });
-  CHECK(message_with(bench, "INVITE") ==
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kCallId, 2000, "c=IN IP4 10.4.7.9\\r\\nm=audio 31000 RTP/AVP 0 8 101\\r\\n");
+  auto& server = fixture.wait_for_invite(kCallId);
+  fixture.run_until([&] { return server.has_received("RTP/AVP 0 8 101\r\n"); });
+  CHECK(message_with(fixture, "INVITE") ==
         "INVITE sip:77aa@net SIP/2.0\r\n"
         "Via: SIP/2.0/TCP n0\r\n"
         "Call-ID: 9b1f03aa5c7e2d41\r\n"
@@ -37,17 +37,17 @@
         "\r\n"
         "c=IN IP4 10.4.7.9\r\n"
         "m=audio 31000 RTP/AVP 0 8 101\r\n");
-  bench.answer(server, kCallId);
-  CHECK(message_with(bench, "ACK") ==
+  fixture.answer(server, kCallId);
+  CHECK(message_with(fixture, "ACK") ==
         "ACK sip:77aa@net SIP/2.0\r\n"
         "Via: SIP/2.0/TCP n0\r\n"
         "Call-ID: 9b1f03aa5c7e2d41\r\n"
         "CSeq: 1 ACK\r\n"
         "Content-Length: 0\r\n"
         "\r\n");
-  bench.until([&] { return bench.caller->has("\"ready\""); });
-  bench.say("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":34}\n");
-  CHECK(message_with(bench, "BYE") ==
+  fixture.run_until([&] { return fixture.caller->has_received("\"ready\""); });
+  fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":34}\n");
+  CHECK(message_with(fixture, "BYE") ==
         "BYE sip:77aa@net SIP/2.0\r\n"
         "Via: SIP/2.0/TCP n0\r\n"
         "Call-ID: 9b1f03aa5c7e2d41\r\n"
@@ -58,14 +58,15 @@
 }
 
 TEST_CASE("SIP bytes: ACK of a rejection") {
-  Bench bench;
-  bench.list();
-  bench.open(kCallId);
-  auto& server = bench.invited(kCallId);
-  bench.until([&] { return server.has("desc"); });
-  server.in.clear();
-  server.stream->send(Bench::sip("SIP/2.0 486 Busy Here", kCallId, "1 INVITE", "X-Diagnosis: sub\r\n"));
-  CHECK(message_with(bench, "ACK") ==
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kCallId);
+  auto& server = fixture.wait_for_invite(kCallId);
+  fixture.run_until([&] { return server.has_received("desc"); });
+  server.received.clear();
+  server.stream->send(
+      RouterFixture::sip_message("SIP/2.0 486 Busy Here", kCallId, "1 INVITE", "X-Diagnosis: sub\r\n"));
+  CHECK(message_with(fixture, "ACK") ==
         "ACK sip:77aa@net SIP/2.0\r\n"
         "Via: SIP/2.0/TCP n0\r\n"
         "Call-ID: 9b1f03aa5c7e2d41\r\n"
@@ -75,22 +76,22 @@
 }
 
 TEST_CASE("SIP bytes: CANCEL, then ACK and BYE for a 200 that crosses it") {
-  Bench bench;
-  bench.list();
-  bench.open(kCallId);
-  auto& server = bench.invited(kCallId);
-  bench.until([&] { return server.has("desc"); });
-  server.in.clear();
-  bench.say("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":16}\n");
-  CHECK(message_with(bench, "CANCEL") ==
+  RouterFixture fixture;
+  fixture.announce_server();
+  fixture.send_set_up(kCallId);
+  auto& server = fixture.wait_for_invite(kCallId);
+  fixture.run_until([&] { return server.has_received("desc"); });
+  server.received.clear();
+  fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"9b1f03aa5c7e2d41\",\"attrs\":{},\"code\":16}\n");
+  CHECK(message_with(fixture, "CANCEL") ==
         "CANCEL sip:77aa@net SIP/2.0\r\n"
         "Via: SIP/2.0/TCP n0\r\n"
         "Call-ID: 9b1f03aa5c7e2d41\r\n"
         "CSeq: 1 CANCEL\r\n"
         "Content-Length: 0\r\n"
         "\r\n");
-  bench.answer(server, kCallId);
-  CHECK(message_with(bench, "BYE") ==
+  fixture.answer(server, kCallId);
+  CHECK(message_with(fixture, "BYE") ==
         "ACK sip:late@net SIP/2.0\r\n"
         "Via: SIP/2.0/TCP n0\r\n"
         "Call-ID: 9b1f03aa5c7e2d41\r\n"
@@ -107,23 +108,24 @@
 }
 
 TEST_CASE("SIP bytes: 200 to a server's BYE and OPTIONS") {
-  Bench bench;
-  bench.list();
-  auto& server = bench.standing(kCallId);
-  bench.until([&] { return server.has("ACK"); });
-  server.in.clear();
+  RouterFixture fixture;
+  fixture.announce_server();
+  auto& server = fixture.establish_call(kCallId);
+  fixture.run_until([&] { return server.has_received("ACK"); });
+  server.received.clear();
   server.stream->send(
       "OPTIONS sip:ping@net SIP/2.0\r\nVia: SIP/2.0/TCP s1;branch=z9\r\nCall-ID: ab12\r\nCSeq: 7 OPTIONS\r\n"
       "Content-Length: 0\r\n\r\n");
-  CHECK(message_with(bench, "SIP/2.0 200") ==
+  CHECK(message_with(fixture, "SIP/2.0 200") ==
         "SIP/2.0 200 OK\r\n"
         "Via: SIP/2.0/TCP s1;branch=z9\r\n"
         "Call-ID: ab12\r\n"
         "CSeq: 7 OPTIONS\r\n"
         "Content-Length: 0\r\n"
         "\r\n");
-  server.stream->send(Bench::sip("BYE sip:77aa@net SIP/2.0", kCallId, "3 BYE", "Reason: Q.850;cause=16\r\n"));
-  CHECK(message_with(bench, "SIP/2.0 200") ==
+  server.stream->send(
+      RouterFixture::sip_message("BYE sip:77aa@net SIP/2.0", kCallId, "3 BYE", "Reason: Q.850;cause=16\r\n"));
+  CHECK(message_with(fixture, "SIP/2.0 200") ==
         "SIP/2.0 200 OK\r\n"
         "Call-ID: 9b1f03aa5c7e2d41\r\n"
         "CSeq: 3 BYE\r\n"
