--- a/src/http2/body.cpp
+++ b/src/http2/body.cpp
@@ -59,7 +59,8 @@
   definitions.Parse(kSessionSchema);
   if (definitions.HasParseError()) throw std::logic_error("session.schema.json is not valid JSON");
   for (const char* name : kSchemaNames) {
-    // A copy of all definitions whose root refers to the named one, so that references between them resolve.
+    // Copies the whole document and lets the root of the copy refer to the named definition, so that
+    // references between definitions resolve.
     rapidjson::Document schema_document;
     schema_document.CopyFrom(definitions, schema_document.GetAllocator());
     const std::string pointer = std::string("#/definitions/") + name;
@@ -75,19 +76,20 @@
 bool BodyReader::parse(std::span<char> body, const char* schema_name, std::string& fault) {
   // The parser takes a zero byte for the end of the text and would ignore what follows.
   if (std::find(body.begin(), body.end(), '\0') != body.end()) {
-    fault = "holds a zero byte";
+    fault = "the body holds a zero byte";
     return false;
   }
   impl_->text.assign(body.begin(), body.end());
   impl_->document = rapidjson::Document();
   if (!settings::parse_in_place<kParseFlags>(impl_->text, impl_->document)) {
-    fault = "is not JSON";
+    fault = "the body is not JSON";
     return false;
   }
   valijson::ValidationResults results;
   const RapidJsonAdapter adapter(impl_->document);
   if (impl_->validator.validate(impl_->schemas.find(schema_name)->second, adapter, &results)) return true;
-  // The last error is the one of the innermost value.
+  // valijson reports the error of an enclosing value after those of the values inside, so the last error is
+  // one of the outermost value.
   valijson::ValidationResults::Error error;
   fault.clear();
   while (results.popError(error)) {
--- a/src/http2/body.hpp
+++ b/src/http2/body.hpp
@@ -53,7 +53,7 @@
 
   /// Reads the body of a set-up in version 1 or 2 of the session API. The texts of `target` refer to this
   /// reader and are valid until its next read. Returns false if `body` is not JSON or violates its schema;
-  /// `fault` then holds the path of the value and what is wrong with it.
+  /// `fault` then says what is wrong, after the path or name of a value if the body is JSON.
   bool read_set_up(std::uint32_t version, std::span<char> body, translate::Record& target,
                    std::string& fault);
   /// Reads the answer to a set-up; otherwise like read_set_up().
--- a/src/http2/connection.cpp
+++ b/src/http2/connection.cpp
@@ -124,7 +124,7 @@
 // ---- transport ------------------------------------------------------------------------------------------
 
 // Called only while the socket's queue is empty, except for a cancel. Output that stays inside nghttp2 can
-// still be changed by a cancel, and a server that does not read makes no queue grow here.
+// still be changed by a cancel, and the socket's queue does not grow if the server does not read.
 void Connection::flush_output(net::TcpConnection::Tag tag) {
   if (is_closed()) return;
   std::string bytes;
@@ -175,8 +175,8 @@
   for (const auto& message : tcp.take_unsent()) {
     if (message.tag != 0) unsent.push_back(message.tag - 1);
   }
-  // Reported in the order of the requests, whose keys rise, and not of the hash table, so that the same
-  // events give the same actions in every run.
+  // Failures are reported in the order in which the requests were made (their keys increase), not in the
+  // order of the hash table, so that the same events lead to the same actions in every run.
   std::vector<RequestKey> outstanding;
   for (const auto& [key, exchange] : exchanges_by_key_) outstanding.push_back(key);
   std::sort(outstanding.begin(), outstanding.end());
@@ -250,7 +250,8 @@
                           std::uint8_t /*flags*/, void* self) {
   auto* exchange = connection_of(self)->find_exchange(frame->hd.stream_id);
   if (exchange == nullptr) return 0;
-  exchange->head_size += name_size + value_size + 32;  // 32 per field as for SETTINGS_MAX_HEADER_LIST_SIZE
+  // RFC 9113 counts 32 bytes of overhead per field for SETTINGS_MAX_HEADER_LIST_SIZE.
+  exchange->head_size += name_size + value_size + 32;
   if (exchange->head_size > connection_of(self)->limits_.max_head_size) {
     if (!std::exchange(exchange->too_large, true)) {
       nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, frame->hd.stream_id, NGHTTP2_CANCEL);
--- a/src/http2/connection.hpp
+++ b/src/http2/connection.hpp
@@ -47,8 +47,8 @@
   /// Identifies a request. The owner chooses it and never uses it twice on one connection.
   using RequestKey = std::uint64_t;
 
-  /// Receives the events of a connection. No method is called after close(). Only fail() may call methods
-  /// before it returns; the other methods of the connection never do.
+  /// Receives the events of a connection. No method is called after close(). Of the connection's methods,
+  /// only fail() may call the handler before it returns.
   class Handler {
    public:
     virtual ~Handler() = default;
--- a/src/http2/connection_pool.cpp
+++ b/src/http2/connection_pool.cpp
@@ -17,13 +17,14 @@
 using translate::Meaning;
 using translate::MessageKind;
 
-// Connections kept open to each server, and the most it gets when set-ups wait.
+// The pool keeps kMinConnectionsPerServer connections to each server open, and opens up to
+// kMaxConnectionsPerServer while set-ups wait.
 constexpr std::size_t kMinConnectionsPerServer = 2;
 constexpr std::size_t kMaxConnectionsPerServer = 4;
 constexpr Duration kMinReconnectBackoff = milliseconds{100};
 constexpr Duration kMaxReconnectBackoff = seconds{1};
-// How often a set-up that was not processed may be sent on another connection of its server, before the
-// decision module gets it back.
+// Not used: the attempt of a set-up that the server did not process ends at once, and the set-up is not sent
+// on another connection of its server.
 constexpr int kMaxMoves = 3;
 // Tries per release. They are limited because a server may hold a session that nobody can release.
 constexpr int kMaxReleaseAttempts = 20;
@@ -87,10 +88,10 @@
   std::string name;
   std::string address;
   std::int64_t started_unix_ms = 0;
-  bool listed = false;    // in the endpoint list and not removed
-  bool ready = false;     // by the endpoint list
-  bool draining = false;  // by the server's own draining event
-  bool reported_serving = false;
+  bool listed = false;            // in the endpoint list and not removed
+  bool ready = false;             // in state kReady in the endpoint list
+  bool draining = false;          // the server has sent a draining event and has not restarted since
+  bool reported_serving = false;  // not used
   std::string process_name;
   std::vector<std::shared_ptr<PooledConnection>> connections;
   std::deque<CallId> waiting_set_ups;  // calls whose set-up has not been sent, oldest first
@@ -191,8 +192,8 @@
     connection_count_ -= removed.size();
     server.event_stream_key = 0;
     for (const auto& pooled : removed) {
-      // The server's state has changed already, so the outstanding attempts are ended here and not by the
-      // connection's handler.
+      // close() does not call the connection's handler, so the outstanding attempts are ended here. `server`
+      // is already up to date, so attempts that are routed again see its new state.
       std::vector<core::AttemptId> lost_attempts;
       for (const auto& [call, attempt] : attempts_) {
         if (attempt.pooled == pooled.get()) lost_attempts.push_back(attempt.ref);
--- a/src/http2/connection_pool.hpp
+++ b/src/http2/connection_pool.hpp
@@ -28,9 +28,10 @@
 class ConnectionPool : public core::UpstreamPool {
  public:
   /// Called when a server starts or stops taking new calls, or speaks another version than before.
+  /// `restarted` tells whether the server's process has restarted; this pool always passes false.
   using OnChange = std::function<void(ServerId server, bool restarted)>;
-  /// Returns the version that the operator's file sets for a server, or nullopt if the server has to be
-  /// asked.
+  /// Returns the version that the operator file (app::OperatorFile::session_api) sets for a server, or
+  /// nullopt if the server has to be asked.
   using ConfiguredVersion = std::function<std::optional<ProtocolVersion>(const std::string& server)>;
 
   /// `max_retry_after` caps the Retry-After that a server asks for.
@@ -67,7 +68,7 @@
     PooledConnection* pooled = nullptr;  ///< while the set-up is outstanding: the connection it was sent on
     RequestKey request_key = 0;
     Instant sent_at{};
-    int moves = 0;
+    int moves = 0;  ///< not used
     bool established = false;
     /// Set if the session's end was reported before the answer to its set-up arrived.
     std::optional<std::pair<Outcome, core::Cause>> early_end;
@@ -109,11 +110,11 @@
   void delete_session(Server& server, const std::string& id, core::Cause cause);
   void on_release_ended(Server& server, const std::string& id, bool confirmed);
   void withdraw_set_ups(Server& server);
-  /// Ends all attempts whose set-up still waits, as not sent.
+  /// Ends all attempts whose set-up still waits, with the outcome kNotSent.
   void end_waiting(Server& server);
   void cancel_timers(const Server& server);
-  /// Forgets the requests that are outstanding on a connection that the pool has closed, since it reports
-  /// none.
+  /// Removes the requests that are outstanding on a connection that the pool has closed: Connection::close()
+  /// reports no failures for them.
   void forget_outstanding(Server& server, const PooledConnection& pooled);
   /// Takes the reference by value because it may belong to the attempt that is removed.
   void end_attempt(core::AttemptId ref, core::AttemptEnd attempt_end);
--- a/src/jsonl/codec.hpp
+++ b/src/jsonl/codec.hpp
@@ -56,7 +56,7 @@
 
 /// Returns the answer to a set-up.
 std::string ready_line(std::string_view sid, std::string_view description);
-/// Returns a rejection or release; `wait` tells the caller to retry no sooner.
+/// Returns a rejection or release. `wait` is the time that the caller is told to wait before it retries.
 std::string close_line(std::string_view sid, core::Cause cause, std::optional<Duration> wait = std::nullopt);
 /// Returns the confirmation of a release.
 std::string closed_line(std::string_view sid);
--- a/src/jsonl/frontend.cpp
+++ b/src/jsonl/frontend.cpp
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A connection is closed if it has sent no useful message by then. It is less than the 3 s within which the
-// other side must get an answer or a close.
+// A connection that has sent no useful message within this time is closed. The time is below the 3 s within
+// which the caller must get an answer or see the connection closed.
 constexpr Duration kFirstMessageTimeout = milliseconds{2400};
 // A line must be complete within this time after its first byte.
 constexpr Duration kPartialLineTimeout = milliseconds{2400};
@@ -30,8 +30,8 @@
 constexpr std::size_t kMaxSentReleases = 256;
 constexpr Duration kSweepInterval = milliseconds{200};
 // In standby: how often idle connections are closed, and how long a new connection may take to send its first
-// line. New connections arrive for 0.2 s after a drain begins, and 4 s after it no connection may be left
-// that is idle or carried a request in the last 2 s.
+// line. After the router enters standby, new connections may still arrive for 0.2 s. 4 s after it enters
+// standby, no connection may be open that is idle or has carried a request in the last 2 s.
 constexpr Duration kIdleCloseInterval = milliseconds{50};
 constexpr Duration kFirstLineGracePeriod = milliseconds{150};
 // Lines that are read from one connection before other connections get their turn.
@@ -268,8 +268,8 @@
   }
 }
 
-// Closes connections that are silent or never complete a line: descriptors are scarce, and the other side
-// must get a close.
+// Closes connections that are silent or never complete a line: descriptors are scarce, and the caller must
+// see the connection closed in time (see kFirstMessageTimeout).
 void Frontend::schedule_sweep() {
   loop_.run_after(kSweepInterval, [this] {
     const Instant now = net::Loop::now();
@@ -474,7 +474,8 @@
       kCallOverheadBytes + 2 * (set_up.description.size() + set_up.number.size()) + message_bytes;
   if (held_bytes_ + held_bytes > limits_.max_call_bytes ||
       from.held_bytes + held_bytes > limits_.max_call_bytes_per_connection) {
-    // The memory limit is reached: rejected at once, with a time before which the caller should not retry.
+    // The memory limit is reached. The set-up is rejected at once; if limits.may_advise_retry is set, the
+    // rejection tells the caller how long to wait before it retries.
     ++counters_.rejected_for_capacity;
     net::log::warn(capacity_log_limit_, "jsonl: set-up rejected at the memory limit: unanswered calls hold ",
                    held_bytes_, " bytes");
@@ -509,7 +510,8 @@
 
 void Frontend::close(Connection& from, const JsonLine& line) {
   const auto found = calls_by_sid_.find(std::string(line.sid));
-  // Confirmed even if the id is unknown: a release may cross ours, and its sender must get a confirmation.
+  // The release is confirmed even if the id is unknown: it may have crossed a release sent by the router, and
+  // the caller must get a confirmation.
   from.stream->send(closed_line(line.sid));
   if (found == calls_by_sid_.end()) {
     ++counters_.unknown_ids;
--- a/src/jsonl/frontend.hpp
+++ b/src/jsonl/frontend.hpp
@@ -57,7 +57,7 @@
     Instant accepted_at{};
     std::optional<Instant> partial_line_since;
     bool is_useful = false;  ///< it has sent a valid set-up, a release of a known call or a health check
-    std::unordered_set<CallId> calls;  ///< that were set up on it
+    std::unordered_set<CallId> calls;  ///< calls that were set up on this connection
     std::size_t unanswered = 0;        ///< number of `calls` without an answer
     std::size_t held_bytes = 0;        ///< bytes reserved for the unanswered calls
     /// Releases sent on it that the caller has not confirmed.
@@ -65,7 +65,7 @@
   };
   struct Call {
     std::string sid;
-    Connection* connection = nullptr;  ///< it was set up on; null once that is closed
+    Connection* connection = nullptr;  ///< the call was set up on this connection; null once it is closed
     asio::ip::address caller;
     bool answered = false;
     std::size_t held_bytes = 0;
@@ -96,8 +96,9 @@
   void accept_pending();
   /// Whether closing now would lose data: a partly received or unread message, or queued output.
   [[nodiscard]] static bool has_pending_data(const Connection& connection);
-  /// Sends the final message of a call: on its own connection before the answer, on any connection of the
-  /// caller after it.
+  /// Sends the final message of a call. Before the answer, it is sent only on the connection that the call
+  /// was set up on; after the answer, on that connection if it is open and otherwise like
+  /// send_release_to_caller().
   void end_call(CallId call, core::Cause cause, std::optional<Duration> wait = std::nullopt);
   /// Sends the release of an established call on any connection of the caller, or keeps it for the next one.
   void send_release_to_caller(core::UndeliveredRelease release);
@@ -106,8 +107,8 @@
   void mark_answered(Call& call);
   std::shared_ptr<net::TcpConnection> best_connection_of(const asio::ip::address& caller);
   void schedule_sweep();
-  /// Whether a connection may be closed. In standby: it has no calls, and had time to send its first line.
-  /// During a hot restart: it has no unanswered calls.
+  /// Whether a connection may be closed: it had time to send its first line, has no partial line and no
+  /// unread input, and has no calls (in standby) or no unanswered calls (during a hot restart).
   [[nodiscard]] bool may_close(const Connection& connection, Instant now) const;
   /// In standby and during a hot restart: closes each connection that may_close() allows.
   void close_idle_connections();
--- a/src/net/bounds.hpp
+++ b/src/net/bounds.hpp
@@ -26,7 +26,8 @@
 
   /// Derives the limits from the memory in megabytes (at least 8) and the number of descriptors. Read buffers
   /// take up to a third of the memory if all are full, so the number of connections depends on both figures.
-  /// A typical load of callers uses a third of the descriptors; 32 MB allow the use of all 1,024.
+  /// With 1,024 descriptors, 32 MB of memory are enough that the descriptors alone limit the number of
+  /// connections. A typical load of callers uses a third of the descriptors.
   static ResourceLimits from_config(std::size_t memory_mb, std::size_t sockets) {
     const std::size_t memory_bytes = std::max<std::size_t>(memory_mb, 8) * 1024 * 1024;
     const std::size_t max_buffers = memory_bytes / 3 / (kMaxMessageBytes + 2048);
--- a/src/net/listen.hpp
+++ b/src/net/listen.hpp
@@ -23,7 +23,7 @@
   socket.bind(address);
 }
 
-/// Returns an acceptor that listens on `address`, shared by bind_reusable_port().
+/// Returns an acceptor that listens on `address`, bound with bind_reusable_port().
 inline asio::ip::tcp::acceptor shared_acceptor(asio::io_context& io, const asio::ip::tcp::endpoint& address) {
   asio::ip::tcp::acceptor acceptor(io);
   bind_reusable_port(acceptor, address);
@@ -31,7 +31,8 @@
   return acceptor;
 }
 
-/// Returns a datagram socket for the siblings at `address`, shared by bind_reusable_port().
+/// Returns a datagram socket bound to `address` with bind_reusable_port(), for messages from and to the
+/// siblings (the other routers).
 inline asio::ip::udp::socket shared_datagram_socket(asio::io_context& io,
                                                     const asio::ip::udp::endpoint& address) {
   asio::ip::udp::socket socket(io);
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 const char* close_reason_name(CloseReason reason) {
-  static constexpr const char* kNames[] = {"ended", "reset", "refused", "not connected in time", "overrun"};
+  static constexpr const char* kNames[] = {"ended", "reset", "refused", "connect failed", "overrun"};
   return kNames[static_cast<int>(reason)];
 }
 
@@ -284,9 +284,9 @@
   }
 }
 
-// A failed write does not invalidate input that has arrived: pending answers are read first, and the end of
-// the input reports the close to the handler. The timer reports it from the loop, never from inside a call of
-// the handler.
+// A failed write does not invalidate input that has arrived, so pending answers are read first. The handler
+// learns of the close when the end of the input is read, or from this timer, which runs from the loop and
+// never inside a call that the handler has made.
 void TcpConnection::stop_writing(CloseReason reason) {
   if (is_lingering_) {
     close();
@@ -359,8 +359,8 @@
     self->close();
   });
   flush();
-  // A pending read continues by discarding input. If there is none, discarding starts after the current call
-  // of the handler has returned.
+  // A pending read continues by discarding input. If there is none, discarding starts from the loop, after
+  // the handler's call to close_after_flush() has returned.
   asio::post(loop_.io, [self = shared_from_this()] { self->discard_input(); });
 }
 
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -61,7 +61,7 @@
   [[nodiscard]] bool is_queued(Tag tag) const;
   /// Whether any byte of the tagged message is still queued.
   [[nodiscard]] bool is_unsent(Tag tag) const;
-  /// Whether received bytes have not been read yet. Asked before a close, which would discard them.
+  /// Whether received bytes have not been read yet. To be checked before close(), which discards them.
   [[nodiscard]] bool has_unread() const;
   /// Whether the peer has closed the connection and this has not been read yet.
   [[nodiscard]] bool has_ended();
--- a/src/sip/connection_pool.cpp
+++ b/src/sip/connection_pool.cpp
@@ -23,14 +23,14 @@
 constexpr Duration kHealthCheckTimeout = milliseconds{250};
 // A release that is unconfirmed when its connection is lost is sent again, unless it is older than this.
 constexpr Duration kReleaseConfirmationTimeout = seconds{3};
-// The protocol accepts a release from a server up to this much later if it could not be sent before.
+// By the protocol, a server that could not send a release may still send it up to this long afterwards.
 constexpr Duration kReleaseRetention = seconds{8};
 constexpr std::size_t kMaxPendingReleases = 256;
 // A connection is closed if a message that has begun to arrive is incomplete for longer than this.
 constexpr Duration kPartialMessageTimeout = milliseconds{400};
-// A connection is stalled if set-ups sent this much later than its oldest unanswered one were answered on
-// other connections, and this much time has passed since the last of those answers. Set-ups in flight on a
-// stalled connection are lost.
+// A connection is stalled if other connections have answered set-ups that were sent more than kStallSetUpGap
+// after its oldest unanswered one, and kStallConfirmationTime has passed since the last of those answers.
+// Set-ups in flight on a stalled connection are lost.
 constexpr Duration kStallSetUpGap = milliseconds{60};
 constexpr Duration kStallConfirmationTime = milliseconds{60};
 // Timeout for a suspected stall while answers still arrive on other connections, or if all set-ups on the
@@ -52,14 +52,14 @@
 constexpr Duration kLateConnectTimeout = seconds{1};
 // An unreachable server must not use up the connections of the other servers.
 constexpr std::size_t kMaxLateConnections = 2;
-// A half-closed connection is read until its server closes it too, for at least this long, and longer while
-// calls established on it are not over, because the server sends their releases there. Each one holds a
-// descriptor.
+// A half-closed connection is read until its server closes it too. If the server does not, the router closes
+// it after this time, but not while calls established on it are active, because the server sends their
+// releases there. Each half-closed connection holds a descriptor.
 constexpr Duration kMinHalfClosedTime = kReleaseRetention;
 constexpr std::size_t kMaxHalfClosed = 4;
-// While a half-closed connection is open, another connection is opened at this interval. A message on the
-// half-closed one may be lost; the server repeats it on the next connection that opens, which may fail the
-// same way. The interval allows several tries within kReleaseRetention.
+// While a half-closed connection with established calls remains open, another connection is opened at this
+// interval. A message on the half-closed one may be lost; the server repeats it on the next connection that
+// opens, which may fail the same way. The interval allows several tries within kReleaseRetention.
 constexpr Duration kReopenInterval = seconds{2};
 // How often a set-up that was never written may move from a lost connection to another one.
 constexpr int kMaxMoves = 3;
@@ -94,9 +94,9 @@
   Instant connected_at{};
   bool is_late = false;  ///< not open within the connect timeout; no set-up waits for it
   std::optional<Instant> partial_message_since;  ///< when an incomplete message began to arrive
-  /// When the oldest set-up was sent since which nothing was received on this connection. It stays set after
-  /// that set-up ends: a set-up that was cancelled without an answer indicates a stall as much as one in
-  /// flight.
+  /// Send time of the first set-up after the last bytes received on this connection; empty if there is none.
+  /// It stays set after that set-up ends: a set-up that was cancelled without an answer indicates a stall as
+  /// much as one in flight.
   std::optional<Instant> unanswered_since;
   /// A set-up that was cancelled when it was partly written, and when. The connection must finish writing it
   /// or is closed.
@@ -128,8 +128,8 @@
   Instant last_answered_at{};       // when last_answered_sent_at was last updated
   /// Call-ID and text of the releases that wait for a connection.
   std::deque<std::pair<std::string, std::string>> unsent_releases;
-  /// When a connection was lost while calls were established. The server repeats releases that were lost with
-  /// it on the next connection that opens, and only there. Empty if a connection has opened since.
+  /// When a connection was lost while calls were established. The server repeats the releases lost on that
+  /// connection, but only on the next connection that opens. Empty if a connection has opened since.
   std::optional<Instant> releases_maybe_lost_since;
   /// When a connection was last opened because the server had not closed a half-closed one.
   Instant reopened_at{};
@@ -294,7 +294,8 @@
   return server.connections.size() > count ? server.connections.back() : avoided;
 }
 
-const ConnectionPool::Connection* ConnectionPool::recently_ended_on(const core::AttemptId& attempt) const {
+const ConnectionPool::Connection* ConnectionPool::connection_of_ended_attempt(
+    const core::AttemptId& attempt) const {
   if (attempt.attempt == 0) return nullptr;
   for (auto ended = recently_ended_.rbegin(); ended != recently_ended_.rend(); ++ended) {
     if (ended->call != attempt.call) continue;
@@ -368,8 +369,8 @@
     connection.stream->fail(net::CloseReason::kConnectFailed);
     return;
   }
-  // The server may send releases on the next connection that opens at its end, which may be one that never
-  // opens here. Another one is opened for them.
+  // The server may send releases on the next connection that it sees as open. That may be this late one,
+  // which may never open on the router's side. Another connection is therefore opened for the releases.
   open_warm_connections(server);
 }
 
@@ -419,8 +420,8 @@
   if (!has_established ||
       (server.releases_maybe_lost_since && now - *server.releases_maybe_lost_since > kReleaseRetention))
     server.releases_maybe_lost_since.reset();
-  // Callers must get a release within 1 s, so a longer backoff that an earlier connection started is not
-  // waited for.
+  // Callers must get a release within 1 s, so a pending reconnect timer, which may run for longer, is
+  // cancelled and the backoff is reset to its minimum.
   if (server.releases_maybe_lost_since) {
     loop_.timers.cancel(std::exchange(server.retry_timer, 0));
     server.backoff = kMinBackoff;
@@ -439,8 +440,9 @@
 }
 
 // A server sends a release on the connection of its set-up and on the next connection that opens. If the
-// network drops what the router sends, the server may take a connection that the router gave up for open even
-// after the next one has opened. If the router closed it fully, releases sent on it would be lost for good.
+// network drops what the router sends, the server may still regard a connection that the router has given up
+// as open, even after the next one has opened. If the router closed that connection fully, releases sent on
+// it would be lost for good.
 void ConnectionPool::half_close(Connection& connection, net::CloseReason reason) {
   auto& server = connection.server;
   const auto keep_alive = connection.shared_from_this();
@@ -605,7 +607,7 @@
       ++counters_.stalled_connections;
       net::log::warn(malformed_log_limit_,
                      "sip: connection stalled: ", servers_.find(connection->server.id)->name,
-                     ": closed with ", connection->in_flight.size(), " set-ups in flight");
+                     ": no longer used, with ", connection->in_flight.size(), " set-ups in flight");
       half_close(*connection, net::CloseReason::kReset);
     }
     for (auto* server : to_reopen) open_connection_for_releases(*server);
@@ -619,7 +621,7 @@
   auto& server = find_or_create_server(set_up.attempt.server);
   // An answer identifies its call but not its attempt. If an earlier attempt of the call was sent, the next
   // one uses another connection, where no second or late answer to the earlier one can arrive.
-  const auto connection = pick_connection(server, recently_ended_on(set_up.attempt));
+  const auto connection = pick_connection(server, connection_of_ended_attempt(set_up.attempt));
   if (!connection) {
     asio::post(loop_.io, [this, ref = set_up.attempt] {
       table_.on_attempt_ended(ref, {Outcome::kConnectFailed, core::Cause::kOutOfOrder, false, {}});
@@ -793,8 +795,9 @@
   if (head.status < 200) return;
   const auto found = attempts_.find({server.id, std::string(head.call_id)});
   // Only the Call-ID and the method match an answer to its call: servers answer a second attempt with CSeq
-  // number 1 too. The answer arrives on the connection of its attempt, because closing a connection ends its
-  // set-ups. On another connection it is a second answer to an earlier attempt of the call at this server.
+  // number 1 too. The answer to the current attempt can arrive only on the connection of that attempt,
+  // because closing a connection ends its set-ups. An answer on another connection is a second answer to an
+  // earlier attempt of the call at this server.
   const bool is_current =
       found != attempts_.end() && !found->second.established && found->second.connection.get() == &connection;
   const SipCall call{head.call_id, is_current ? std::string_view(found->second.number) : "late",
@@ -806,8 +809,9 @@
     server.last_answered_at = net::Loop::now();
   }
   if (head.status < 300) {
-    // Either a repeated answer of the established call, or an answer to an earlier attempt while another one
-    // is in flight. A release would end that call at the server.
+    // This is either a repeated answer for the established call, or an answer to an earlier attempt while a
+    // later attempt is in flight. No release is sent, because it would end the call at the server in both
+    // cases.
     if (!is_current && found != attempts_.end()) {
       ++counters_.second_answers;
       return;
--- a/src/sip/connection_pool.hpp
+++ b/src/sip/connection_pool.hpp
@@ -76,13 +76,14 @@
   /// and none can be opened.
   std::shared_ptr<Connection> pick_connection(Server& server, const Connection* avoid = nullptr);
   /// Returns the connection that a recent attempt of the call at that server was sent on, or null.
-  [[nodiscard]] const Connection* recently_ended_on(const core::AttemptId& attempt) const;
+  [[nodiscard]] const Connection* connection_of_ended_attempt(const core::AttemptId& attempt) const;
   void on_connection_open(Connection& connection);
-  /// The connect timeout has expired. Set-ups that wait for the connection move away; it may still open for
-  /// others.
+  /// The connect timeout has expired. Set-ups that wait for the connection are moved to other connections.
+  /// The connect may still complete; later set-ups may then use the connection.
   void on_connect_timeout(Connection& connection);
-  /// Moves set-ups that were never written to other connections. Ends them instead if the server
-  /// `is_unreachable` and has no open connection.
+  /// Moves set-ups that were never written to other connections. Ends a set-up if no connection can take it.
+  /// All of them end if the server is not listed, if it `is_unreachable` and has no open connection, or if a
+  /// set-up on the connection has already been moved kMaxMoves times.
   void move_unsent_set_ups(Connection& connection, bool is_unreachable);
   void on_connection_closed(Connection& connection, net::CloseReason reason);
   /// Moves or ends everything that was in flight on a connection that is already removed from its server, and
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -151,17 +151,17 @@
       {R"({"id":"00112233445566aa","description":7})", 1, "description"},
       {R"({"id":"00112233445566aa"})", 1, "description"},
       {R"([])", 1, ""},
-      {R"({"id":)", 1, "is not JSON"},
-      {std::string("{}\0", 3), 1, "zero byte"},
-      {"{\"id\":\"00112233445566aa\",\"description\":\"\xff\"}", 1, "is not JSON"},
+      {R"({"id":)", 1, "the body is not JSON"},
+      {std::string("{}\0", 3), 1, "the body holds a zero byte"},
+      {"{\"id\":\"00112233445566aa\",\"description\":\"\xff\"}", 1, "the body is not JSON"},
       {"{\"id\":\"00112233445566aa\",\"description\":\"" + std::string(8193, 'x') + "\"}", 1, "description"},
       // 8192 characters, but more bytes than the field allows.
       {"{\"id\":\"00112233445566aa\",\"description\":\"" + std::string(8190, 'x') + "\xc3\xa9\xc3\xa9\"}", 1,
        "description"},
-      {std::string(5000, '['), 1, "is not JSON"},
-      {"{\"id\xf0:", 1, "is not JSON"},
+      {std::string(5000, '['), 1, "the body is not JSON"},
+      {"{\"id\xf0:", 1, "the body is not JSON"},
       {R"({"id":"00112233445566aa","description":"\ude0b"})", 1, "description"},  // unpaired surrogate
-      {"", 1, "is not JSON"},
+      {"", 1, "the body is not JSON"},
   };
   BodyReader reader;
   translate::Record record;
