--- a/include/amberknot/admission.hpp
+++ b/include/amberknot/admission.hpp
@@ -29,7 +29,7 @@
 enum class CallId : std::uint32_t {};
 /// Number of a session server.
 enum class ServerId : std::uint32_t {};
-/// Number of a pool of servers, or of an exchange.
+/// Number of a pool of servers. Where calls are in transit, it can stand for an exchange.
 enum class PoolId : std::uint32_t {};
 /// Number of a peer, that is another sender.
 enum class PeerId : std::uint32_t {};
@@ -66,10 +66,13 @@
 
 /// Parameters of the rules that a sender must never break.
 struct Invariants {
-  Duration answer_slack{};        ///< not used by the module
-  Duration drain_grace_period{};  ///< a draining server may get set-ups so long; not used by the module
-  double overload_multiple = 0;   ///< limits the set-ups of all senders to a server in slow start
-  Duration overload_window{};     ///< time over which `overload_multiple` applies
+  Duration answer_slack{};  ///< not used by the module
+  /// Time during which a draining server may still get set-ups; not used by the module.
+  Duration drain_grace_period{};
+  /// The set-ups of all senders to a server in slow start stay below this multiple of its current capacity.
+  /// The value is not used by the module.
+  double overload_multiple = 0;
+  Duration overload_window{};              ///< time over which `overload_multiple` applies
   double slow_start_initial_capacity = 0;  ///< share of its full capacity that a server starts with, 0 to 1
   Duration slow_start_duration{};          ///< time from a server's start to its full capacity
   Duration retry_pause{};                  ///< pause before a retry after a timeout, reset or cancellation
@@ -78,13 +81,15 @@
 
 /// Settings of one sender.
 struct Settings {
-  std::uint64_t seed = 0;                       ///< of the random choices
-  std::uint32_t peer_count = 0;                 ///< number of senders, this one included
-  PeerId own_id{};                              ///< this sender
-  std::optional<PoolId> own_pool;               ///< never sent to; absent where no call is in transit
-  bool endpoint_list_is_pushed = true;          ///< false: the module requests it with WatchEndpoints
-  Duration batch_interval{};                    ///< shortest time between batches of events
-  std::optional<Duration> retransmit_interval;  ///< until a set-up is repeated; absent: never
+  std::uint64_t seed = 0;               ///< of the random choices
+  std::uint32_t peer_count = 0;         ///< number of senders, this one included
+  PeerId own_id{};                      ///< this sender
+  std::optional<PoolId> own_pool;       ///< this sender's pool, to which it sends no calls; absent where
+                                        ///< no call is in transit
+  bool endpoint_list_is_pushed = true;  ///< false: the module requests it with WatchEndpoints
+  Duration batch_interval{};            ///< shortest time between batches of events
+  /// Time until an unanswered set-up is retransmitted; absent if it never is.
+  std::optional<Duration> retransmit_interval;
   double over_quota_weight_factor = 1;  ///< factor of the priority weight of calls over their tenant's quota
   std::vector<CallClass> classes;       ///< at least one
   std::vector<Tenant> tenants;
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -1,7 +1,7 @@
 // The decision module: a state machine that takes one event at a time and returns the actions that follow.
-// Each sender holds a number of tokens per core server (Widell and Nyberg, NTS-15, 2000, "Tokens"). Comments
-// marked "Departure" in this folder name the rules that differ from it; docs/design.md lists them with their
-// conditions.
+// Each sender holds a number of tokens per session server (Widell and Nyberg, NTS-15, 2000, "Tokens").
+// Comments marked "Departure" in this folder explain the rules that differ from that paper; docs/design.md
+// lists them with their conditions. "The design" means the paper and that page.
 #include "amberknot/admission.hpp"
 
 #include "policy/server_choice.hpp"
@@ -23,7 +23,8 @@
     choice.begin_pass();
   }
 
-  static constexpr int kCheckIntervalBatches = 4;  // between checks of calls and servers; a check is cheap
+  // Batch intervals between checks of the queued calls and the servers; short, because a check is cheap
+  static constexpr int kCheckIntervalBatches = 4;
 
   void on(const EndpointUpdate& update) { fleet.on_update(update); }
 
@@ -36,8 +37,8 @@
     if (quotas.is_over_quota(event.tenant)) call.priority_weight *= context.settings.over_quota_weight_factor;
     calls.add(call);
     calls.enqueue(event.call);
-    // If the queued calls were tried at this instant and no token has been returned since, only this call can
-    // find a server.
+    // If the queued calls were tried at this instant and no token has been returned since, only the new
+    // call is tried. The small rise in capacity that its arrival brings is used in the next pass.
     if (last_pass == context.now && !has_returned_token) return try_place(event.call);
     place_queued();
   }
@@ -63,10 +64,11 @@
     call->request.excluded_versions |= event.newly_excluded_versions;
     if (event.call_ended) return finish(event.call);
     const auto is_one_of = [&](auto... outcomes) { return ((event.outcome == outcomes) || ...); };
-    if (!is_one_of(Outcome::kFull, Outcome::kConnectFailed, Outcome::kNotSent)) call->may_have_run = true;
+    if (!is_one_of(Outcome::kFull, Outcome::kConnectFailed, Outcome::kNotSent))
+      call->may_have_been_executed = true;
     if (is_one_of(Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled))
       call->not_before = context.now + context.settings.invariants.retry_pause;
-    const bool may_repeat = !call->may_have_run || call->class_settings->idempotent;
+    const bool may_repeat = !call->may_have_been_executed || call->class_settings->idempotent;
     const bool has_attempts_left = call->attempts < context.settings.limits.max_attempts;
     const bool is_in_time = call->not_before < call->reject_after;
     if (!may_repeat || !has_attempts_left || !is_in_time) return answer(event.call);
@@ -99,13 +101,14 @@
     calls.for_each_queued([this](CallId id) { try_place(id); });
   }
 
-  /// Sends the call if a server has capacity. It leaves the queue when it is sent or can no longer be
-  /// established in time.
+  /// Sends the call if a server has capacity, and removes it from the queue. A call whose time in the queue
+  /// has ended (reject_after), or that no listed server supports, is removed and answered.
   void try_place(CallId id) {
     auto& call = *calls.find(id);
     const bool is_unservable = context.now >= call.reject_after || choice.is_unroutable(call);
     if (!is_unservable) {
-      next_check = std::min(next_check, call.reject_after);  // earlier than the regular check
+      // The next check must be no later than the end of the call's time in the queue.
+      next_check = std::min(next_check, call.reject_after);
       if (call.not_before > context.now) return;
       Server* server = choice.choose(call);
       if (server == nullptr || !send(call, *server)) return;
@@ -135,8 +138,9 @@
   void answer(CallId id) {
     const auto* call = calls.find(id);
     if (call == nullptr || call->server) return;
-    const bool is_failed = call->may_have_run && !call->class_settings->idempotent;
-    // An immediate redial would meet the same overload, and would weigh no more than a late call.
+    const bool is_failed = call->may_have_been_executed && !call->class_settings->idempotent;
+    // Advises a pause during an overload. An immediate redial would meet the same overload and, where redials
+    // are marked, would weigh no more than a late call.
     const auto& limits = context.settings.limits;
     const bool has_advice = limits.may_advise_retry && context.now < context.overloaded_until;
     const RejectCall rejection{id, has_advice ? limits.max_retry_after : Duration::zero()};
@@ -158,10 +162,11 @@
   }
 
   void run_checks() {
-    bool needs_timer = !calls.is_empty();
+    bool needs_timer = !calls.is_queue_empty();
     for (auto& [id, server] : context.servers) needs_timer = fleet.ejection.check(server) || needs_timer;
-    if (calls.is_empty()) next_check = context.now + context.settings.batch_interval * kCheckIntervalBatches;
-    if (!calls.is_empty() && (last_pass != context.now || has_returned_token)) place_queued();
+    if (calls.is_queue_empty())
+      next_check = context.now + context.settings.batch_interval * kCheckIntervalBatches;
+    if (!calls.is_queue_empty() && (last_pass != context.now || has_returned_token)) place_queued();
     if (needs_timer && (!next_timer || next_check < *next_timer)) {
       next_timer = std::max(next_check, context.now + Duration{1});
       context.emit(SetTimer{*next_timer, TimerHandle{1}});
--- a/src/policy/call_queue.hpp
+++ b/src/policy/call_queue.hpp
@@ -25,7 +25,7 @@
   Instant sent{};
   bool is_cancelling = false;
   bool is_established = false;
-  bool may_have_run = false;
+  bool may_have_been_executed = false;
 
   Call(const NewCall& call, std::shared_ptr<const CallClass> call_class, Instant now, Duration batch_interval)
       : request(call), class_settings(std::move(call_class)), arrived(now), not_before(now) {
@@ -39,7 +39,8 @@
                               : class_settings->priority_weight;
   }
   /// Latest time of establishment that is still of use. It is no later than the expiry, because a caller who
-  /// hangs up first leaves abandoned work at the server. All late calls return the same time.
+  /// hangs up first leaves abandoned work at the server. A late call has no such time: all late calls return
+  /// the epoch, so that after one of them has found no server, ServerChoice skips the others of its kind.
   [[nodiscard]] Instant establish_by() const {
     return is_late ? Instant{} : std::min(arrived + class_settings->latency_objective, request.expires);
   }
@@ -60,7 +61,7 @@
   void erase(CallId id) { calls_.erase(id); }
   void enqueue(CallId id) { queue_.insert(queue_key(id)); }
   void dequeue(CallId id) { queue_.erase(queue_key(id)); }
-  [[nodiscard]] bool is_empty() const { return queue_.empty(); }
+  [[nodiscard]] bool is_queue_empty() const { return queue_.empty(); }
   /// The visitor may remove the current call from the queue or change its position.
   void for_each_queued(auto visit) {
     for (auto next = queue_.begin(); next != queue_.end();) visit(std::get<CallId>(*next++));
@@ -90,8 +91,9 @@
   }
 
   /// Cancels the server's oldest set-up if it is lost or overdue.
-  /// Departure: a set-up is lost, by the link or a restart, if it is out for longer than the silence timeout
-  /// and a later one has been established; it would hold its token until its caller hangs up.
+  /// Departure: a set-up that has been in flight for longer than the silence timeout, while one sent later
+  /// has been established, counts as lost, by the link or a restart. It is cancelled, as it would otherwise
+  /// hold its token until its caller hangs up.
   /// Departure: a set-up past its latency objective is cancelled while calls that can be in time are queued,
   /// so that it does not add to an overload. This does not help where a processor goes on working on
   /// abandoned set-ups.
--- a/src/policy/context.hpp
+++ b/src/policy/context.hpp
@@ -43,9 +43,11 @@
 
 /// State of one sender that all parts use: settings, clock, random numbers, servers, actions and overload.
 struct Context {
-  // Of the least latency objective: leaves time for a retry
+  // Silence timeout as a share of the least latency objective; leaves time for a retry
   static constexpr double kSilenceObjectiveShare = 0.75;
-  static constexpr double kQueueDecayBudgets = 20.0;  // time constant of queue delays, in response budgets
+  // In response budgets: time constant of the decay of queue delays, and duration of an overload after its
+  // last sign
+  static constexpr double kQueueDecayBudgets = 20.0;
   static constexpr Duration kLogInterval = std::chrono::seconds{5};  // between equal log messages
 
   Settings settings;
@@ -54,7 +56,9 @@
   Instant now{};
   Instant overloaded_until{};  // set when a server shows a queue, is full or faulty, or is suspected
   Duration min_latency_objective{};
-  Duration response_budget{};  // a slower set-up is retransmitted or late, which adds load
+  // The shorter of the retransmission interval and the least latency objective. A set-up that takes longer is
+  // retransmitted or late, which adds load.
+  Duration response_budget{};
   std::vector<std::shared_ptr<const CallClass>> classes{};
   std::map<ServerId, Server> servers{};  // ordered by id: sums and random choices depend on the order
   std::vector<Action>* actions = nullptr;
--- a/src/policy/delay_estimate.hpp
+++ b/src/policy/delay_estimate.hpp
@@ -27,8 +27,8 @@
     if (reading > context_.response_budget_share(kOverloadQueueBudgets)) context_.mark_overloaded();
   }
 
-  /// A server without an established set-up gets the mean of the others: with a shorter one, all senders
-  /// would choose it at once.
+  /// A server without an established set-up gets the mean base delay of the available servers: with a shorter
+  /// base delay, all senders would choose it at the same time.
   [[nodiscard]] Duration base_delay(const Server& server) {
     update_means();
     return server.base_delay > Duration::zero() ? server.base_delay : mean_base_delay_;
@@ -44,8 +44,8 @@
   }
 
   /// Expected set-up delay. An old report below the mean of the available servers moves towards that mean.
-  /// The result is no less than the waiting time of our oldest set-up in flight; set-ups older than one
-  /// established since do not count, as they were lost.
+  /// The result is no less than the waiting time of our oldest set-up in flight. Set-ups that were not
+  /// sent after the latest established one do not count, as they may have been lost.
   [[nodiscard]] Duration delay(const Server& server) {
     Duration expected = base_delay(server);
     const Duration own_delay = own_queue_delay(server);
@@ -58,7 +58,7 @@
 
  private:
   static constexpr double kReportDecayBudgets = 5.0;  // time constant of a report's weight
-  // Least weight of a shorter delay; the design asks for a slow recovery
+  // Least weight of a shorter delay; small, because the design asks for a slow recovery
   static constexpr double kRecoveryGain = 0.4;
 
   [[nodiscard]] double freshness(const Server& server) const {
--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -73,7 +73,9 @@
     // A health check that timed out means an overloaded or hung server, but set-ups in flight may still be
     // established: the server is not suspected.
     if (result.outcome == Outcome::kTimeout) return ejection.eject(server, std::nullopt);
-    const bool is_full = result.outcome == Outcome::kFull;  // it answered: all senders may check it at once
+    // A full server has answered, so it is not suspected. It may be full because all senders check it at the
+    // same time.
+    const bool is_full = result.outcome == Outcome::kFull;
     if (is_full) server.last_response = context_.now;
     if (!is_full && server.is_ready()) ejection.suspect(server, "the health check failed");
   }
@@ -94,7 +96,8 @@
     ejection.on_response(server);
   }
 
-  // Updates the tokens at once, so that the traffic share follows each report and not only the next call.
+  // Also updates the tokens, so that the traffic share factor changes with each report and not only when a
+  // call is placed.
   void learn_queue_delay(Server& server, Duration reading) {
     delays.update_queue_delay(server, reading);
     tokens.update_tokens(server);
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -45,8 +45,10 @@
     server.is_suspected = true;
     server.suspected_since = context_.now;
     context_.mark_overloaded();
-    server.next_check = context_.now;
-    context_.log(std::string("server suspected; it receives no new calls until it is cleared: ") + reason);
+    server.next_health_check = context_.now;
+    context_.log(
+        std::string("server suspected; it receives no new calls until the suspicion is cleared; cause: ") +
+        reason);
     for (const auto& [sent, id] : server.in_flight) calls_.cancel(id);
   }
   void on_response(Server& server) const {
@@ -58,7 +60,8 @@
   [[nodiscard]] bool check(Server& server) const {
     const bool needs_checks = !server.in_flight.empty() || (server.is_suspected && server.is_ready());
     if (is_stalled(server) && !context_.settings.limits.may_check_health) suspect(server, "silent");
-    if (is_stalled(server)) check_health(server);  // a long queue looks the same: the health check decides
+    // A server with a long queue looks the same as a failed one; the health check tells them apart.
+    if (is_stalled(server)) check_health(server);
     calls_.cancel_overdue(server);
     if (server.is_suspected && server.is_ready()) check_health(server);
     return needs_checks;
@@ -68,7 +71,8 @@
   // Longest pause: a server that has recovered is not left unused for longer
   static constexpr double kMaxEjectionPauseBudgets = 4.0;
   static constexpr int kMaxConsecutiveErrors = 3;  // in a row: the server is at fault, not the callers
-  // Of the least latency objective, between checks: losing one costs little time
+  // Interval between health checks as a share of the least latency objective; short enough that a lost check
+  // costs little time
   static constexpr double kHealthCheckObjectiveShare = 0.5;
 
   [[nodiscard]] bool is_stalled(const Server& server) const {
@@ -77,8 +81,9 @@
     return context_.now - since > context_.silence_timeout();
   }
   void check_health(Server& server) const {
-    if (context_.now < server.next_check) return;
-    server.next_check = context_.now + scaled(context_.min_latency_objective, kHealthCheckObjectiveShare);
+    if (context_.now < server.next_health_check) return;
+    server.next_health_check =
+        context_.now + scaled(context_.min_latency_objective, kHealthCheckObjectiveShare);
     if (context_.settings.limits.may_check_health) return context_.emit(CheckHealth{server.id});
     if (server.in_flight.empty()) clear_suspicion(server);
   }
--- a/src/policy/server.hpp
+++ b/src/policy/server.hpp
@@ -29,10 +29,11 @@
   }
 };
 
-/// What this sender knows of one server. Each group of fields is maintained by the class named beside it.
+/// What this sender knows of one server. The class named beside a group of fields is its main user;
+/// Admission::Impl, Fleet, OutlierEjection and SlowStart also update fields of other groups.
 struct Server {
-  // Multiple of an equal share of our calls; used until its delay is known
-  static constexpr double kMaxTrafficShare = 1.5;
+  // Upper bound of the traffic share factor, and its initial value, as a new server's delay is not known
+  static constexpr double kMaxTrafficShareFactor = 1.5;
   // First pause, in response budgets: time for a queue to drain
   static constexpr double kMinEjectionPauseBudgets = 0.5;
 
@@ -49,15 +50,15 @@
   std::set<std::pair<Instant, CallId>> in_flight;  // TokenBuckets: send time and call; each holds a token
   Instant last_send{};
   Instant last_established_sent{};  // send time of the latest set-up that was established
-  // Share of our calls at the target delay, in multiples of an equal share
-  double traffic_share = kMaxTrafficShare;
+  // Share of our calls at the target delay, in multiples of the fair share (TokenBuckets::fair_share)
+  double traffic_share_factor = kMaxTrafficShareFactor;
   Instant traffic_share_updated{};
   Instant ejected_until{};                                   // OutlierEjection
   double ejection_pause_budgets = kMinEjectionPauseBudgets;  // next pause, in response budgets
   int consecutive_errors = 0;
   bool is_suspected = false;
   Instant suspected_since{};
-  Instant next_check{};
+  Instant next_health_check{};
   std::optional<Instant> slow_start_began;  // SlowStart
   Instant slow_start_next_send{};
   double slow_start_rate_factor = 1.0;  // raised by set-ups with a short delay
--- a/src/policy/server_choice.hpp
+++ b/src/policy/server_choice.hpp
@@ -32,8 +32,8 @@
   }
 
   /// Starts a pass over the queue. During a pass capacity only falls: if a call finds no server, a call of
-  /// the same kind with no more time left finds none either. Between passes it may rise even at the same
-  /// instant, as an arrival raises the arrival rate.
+  /// the same kind whose establish_by() is no later finds none either. Between passes it may rise even at the
+  /// same instant, as an arrival raises the arrival rate.
   void begin_pass() { no_capacity_until_.clear(); }
 
   /// Returns null if no eligible server has capacity.
@@ -91,7 +91,8 @@
   Context& context_;
   Fleet& fleet_;
   using CallKind = std::tuple<const CallClass*, bool, ProtocolVersionSet, double, std::optional<PoolId>>;
-  std::map<CallKind, Instant> no_capacity_until_;  // kinds that found no server in this pass, up to that time
+  // For each kind of call, the latest establish_by() for which no server was found in this pass
+  std::map<CallKind, Instant> no_capacity_until_;
   std::uint64_t evaluations_ = 0;
 };
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -22,7 +22,7 @@
     const double random_fraction = context_.random_up_to(1.0);
     server.slow_start_next_send = context_.now + scaled(send_interval(server), random_fraction);
     server.queue_delay = Duration::zero();
-    server.traffic_share = std::min(server.traffic_share, 1.0);
+    server.traffic_share_factor = std::min(server.traffic_share_factor, 1.0);
     server.traffic_share_updated = context_.now;
   }
 
@@ -41,10 +41,13 @@
   }
 
  private:
-  // Per set-up: a queue shows before the rate reaches the overload multiple
+  // Growth of the rate factor per set-up with a short delay; small enough that a queue shows before the rate
+  // reaches `overload_multiple`
   static constexpr double kRateGrowthPerSetUp = 1.1;
-  static constexpr double kMaxSizeByCallsCarried = 4.0;  // of the mean server, by the calls carried before
-  // Of the mean server, by its lines: a planned capacity, which may overstate it
+  // Largest relative size, in multiples of the mean server, by the most lines in use before the start
+  static constexpr double kMaxSizeByUsedLines = 4.0;
+  // Largest relative size, in multiples of the mean server, by all its lines: they are a planned capacity,
+  // which may overstate the real one
   static constexpr double kMaxSizeByLines = 1.5;
   static constexpr double kSetUpsWithoutWarmServer = 2.0;  // by all senders per overload window
 
@@ -62,10 +65,12 @@
         [this](const auto& other) { return other.is_available() && is_finished(other); });
   }
 
-  // Interval between set-ups. Their rate is that at which a warm server, now or when there last was one,
-  // establishes our calls, times the capacity fraction; arrivals would overstate what a processor can take.
-  // This keeps all senders together below `overload_multiple` (rule 4). As servers may be of unequal size,
-  // set-ups with a short delay raise the rate.
+  // Interval between set-ups. The rate is that at which one warm server establishes our calls (the last known
+  // rate if there is no warm server now), times the capacity fraction and the relative size. It is at least
+  // kSetUpsWithoutWarmServer per overload window for all senders together. The arrival rate is not used, as
+  // it would overstate what a processor can take. This keeps all senders together below `overload_multiple`,
+  // by the rule that no warming server is overloaded. As servers may be of unequal size, set-ups with a short
+  // delay raise the rate.
   [[nodiscard]] Duration send_interval(const Server& server) const {
     const double peer_count = std::max<double>(1.0, context_.settings.peer_count);
     const double rate_without_warm_server =
@@ -77,22 +82,22 @@
         1e6 / (std::max(known_rate, rate_without_warm_server) * server.slow_start_rate_factor))};
   }
 
-  // Size relative to the mean warm server: by the calls carried before its start, otherwise by its lines.
+  // Size relative to the mean warm server: by the most lines in use before its start, otherwise by its lines.
   [[nodiscard]] double relative_size(const Server& server) const {
-    double total_carried = 0;
+    double total_max_used = 0;
     double total_lines = 0;
     double server_count = 0;
     for (const auto& [id, other] : context_.servers) {
       if (!other.is_available() || (count_warm_servers() > 0 && !is_finished(other))) continue;
       if (!other.capacity.lines) return 1.0;
-      total_carried += std::max(other.capacity.max_used, other.capacity.max_used_before_start);
+      total_max_used += std::max(other.capacity.max_used, other.capacity.max_used_before_start);
       total_lines += *other.capacity.lines;
       ++server_count;
     }
     if (server_count <= 0 || !server.capacity.lines) return 1.0;
-    const double carried_before = server.capacity.max_used_before_start;
-    if (carried_before > 0 && total_carried > 0)
-      return std::min(carried_before * server_count / total_carried, kMaxSizeByCallsCarried);
+    const double max_used_before = server.capacity.max_used_before_start;
+    if (max_used_before > 0 && total_max_used > 0)
+      return std::min(max_used_before * server_count / total_max_used, kMaxSizeByUsedLines);
     return std::min(*server.capacity.lines * server_count / total_lines, kMaxSizeByLines);
   }
 
--- a/src/policy/tenant_quotas.hpp
+++ b/src/policy/tenant_quotas.hpp
@@ -6,8 +6,8 @@
 namespace amberknot::policy {
 
 /// Departure: a call over its tenant's quota is not rejected but gets a lower weight. A sender sees only its
-/// own share of the tenant's calls: above a multiple of an equal share of the quota, the calls over the quota
-/// are drawn at random, in proportion to the excess.
+/// own share of the tenant's calls. If the tenant's call rate here exceeds kMaxQuotaMultiple times an equal
+/// share of the quota, randomly selected calls count as over the quota, in proportion to the excess.
 class TenantQuotas {
  public:
   explicit TenantQuotas(Context& context) : context_(context), rates_(context.settings.tenants.size()) {}
--- a/src/policy/token_buckets.hpp
+++ b/src/policy/token_buckets.hpp
@@ -12,12 +12,12 @@
 
   void count_arrival() { arrival_rate_.count(context_.now); }
 
-  /// Updates the server's traffic share and returns its number of tokens, which may be a fraction.
+  /// Updates the server's traffic share factor and returns its number of tokens, which may be a fraction.
   /// Departure: during an overload the tokens are limited. By Little's law, a sender's fair number of set-ups
-  /// in progress at a server is its calls per second there times the target delay. The tokens are at most
-  /// that number, reduced in proportion to a longer delay: those of all senders add up to one queue of the
-  /// target length, however many senders there are. The share of our calls meant for the server grows while
-  /// its delay is below the target and shrinks above it.
+  /// in progress at a server is its calls per second there times the target delay. The tokens are that
+  /// number times the target delay divided by the current delay, and no more than without an overload. The
+  /// tokens of all senders then add up to one queue of the target length, however many senders there are. The
+  /// traffic share factor grows while the server's delay is below the target and shrinks while it is above.
   double update_tokens(Server& server) {
     const double target = seconds(delays_.base_delay(server) +
                                   context_.response_budget_share(DelayEstimate::kTargetQueueBudgets));
@@ -25,13 +25,15 @@
     const double elapsed = seconds(context_.now - server.traffic_share_updated) /
                            (kTrafficShareBudgets * seconds(context_.response_budget));
     server.traffic_share_updated = context_.now;
-    server.traffic_share *= std::exp(std::clamp(headroom - 1.0, -1.0, 1.0) * std::min(elapsed, 1.0));
-    server.traffic_share = std::clamp(server.traffic_share, kMinTrafficShare, Server::kMaxTrafficShare);
+    server.traffic_share_factor *= std::exp(std::clamp(headroom - 1.0, -1.0, 1.0) * std::min(elapsed, 1.0));
+    server.traffic_share_factor =
+        std::clamp(server.traffic_share_factor, kMinTrafficShareFactor, Server::kMaxTrafficShareFactor);
     const double arrival_rate = arrival_rate_.per_second(context_.now, context_.started);
     const double unloaded_set_ups = arrival_rate / ready_servers() * seconds(server.base_delay);
     const double max_tokens = std::max(kMinTokens, std::round(kTokensPerUnloadedSetUp * unloaded_set_ups));
     if (context_.now >= context_.overloaded_until) return max_tokens;
-    return std::min(max_tokens, server.traffic_share * arrival_rate * fair_share(server) * target * headroom);
+    return std::min(max_tokens,
+                    server.traffic_share_factor * arrival_rate * fair_share(server) * target * headroom);
   }
 
   [[nodiscard]] bool has_token(Server& server) {
@@ -55,8 +57,10 @@
  private:
   static constexpr double kTokensPerUnloadedSetUp = 4.0;  // the design allows 3 to 5
   static constexpr double kMinTokens = 4.0;               // set by the design
-  static constexpr double kMinTrafficShare = 0.25;  // without any calls, a recovery would not be noticed
-  // Response budgets to grow by a factor of e, at half the target delay or less
+  // Greater than zero: without any calls, a recovery would not be noticed
+  static constexpr double kMinTrafficShareFactor = 0.25;
+  // Time, in response budgets, in which the traffic share factor grows by a factor of e if the delay is at
+  // most half of the target
   static constexpr double kTrafficShareBudgets = 2.0;
 
   [[nodiscard]] double ready_servers() const {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -30,8 +30,8 @@
   return value;
 }
 
-/// The key=value pairs. The accessors throw SettingsError, which names the key, if a value is missing or
-/// invalid.
+/// The key=value pairs. The require accessors throw SettingsError, which names the key, if a value is missing
+/// or invalid. find_number() throws it only if the value is invalid, and find() never.
 class KeyValuePairs {
  public:
   explicit KeyValuePairs(std::string_view text) {
@@ -115,7 +115,8 @@
     auto& call_class = classes[i];
     call_class.latency_objective = pairs.require_duration(prefix + "aim_us");
     call_class.deadline = pairs.require_duration(prefix + "deadline_us");
-    // A call without time to wait, or a limit of no attempts (see read_limits), can only be a mistake (DAYS).
+    // By the operators' page DAYS, a deadline of zero or a limit of no attempts (see read_limits) can only be
+    // a mistake.
     if (call_class.deadline <= Duration::zero())
       throw SettingsError("setting must be greater than zero: " + prefix + "deadline_us");
     call_class.priority_weight = pairs.require_non_negative(prefix + "value");
--- a/src/simhost/codec.hpp
+++ b/src/simhost/codec.hpp
@@ -80,7 +80,8 @@
                                ApplyEndpointList, RawAttemptEnded, RawHealthCheckResult, NewCall, Established,
                                CallAbandoned, TimerExpired, PeerMessage>;
 
-/// Throws WireError if the header is too short or contradicts the limits.
+/// Throws WireError if the header is too short, its time is out of range, its length exceeds kMaxFrameBytes,
+/// or its length does not hold its records.
 BatchHeader decode_header(std::span<const std::uint8_t> bytes);
 /// Throws WireError if the body does not fit the header or a record is invalid.
 std::vector<WireEvent> decode_body(const BatchHeader& header, std::span<const std::uint8_t> body);
