--- a/lab/fleet/checker.hpp
+++ b/lab/fleet/checker.hpp
@@ -13,12 +13,13 @@
 
 /// Limits that the rules apply. They match the settings that the fleet's routers get.
 struct RuleLimits {
-  /// Added to each time limit that is observed on sockets (PROTOCOL).
+  /// Added to each time limit that is observed on sockets (the operators' page PROTOCOL).
   Duration tolerance = std::chrono::milliseconds{50};
   Duration drain_grace_period = std::chrono::milliseconds{500};
   Duration min_retry_delay = std::chrono::milliseconds{500};
   std::size_t max_attempts = 4;
-  /// How long a router may still send set-ups for a caller that has left (STANDING).
+  /// How long a router may still send set-ups for a caller that has left (the operators' page
+  /// STANDING).
   Duration caller_left_grace_period = std::chrono::milliseconds{300};
   Duration release_timeout = std::chrono::seconds{1};
   /// Replaces `release_timeout` if a link fault may have kept the release from being sent.
--- a/lab/fleet/faults.cpp
+++ b/lab/fleet/faults.cpp
@@ -77,7 +77,7 @@
   return action;
 }
 
-std::vector<Duration> LinkFaults::connection_cut_times() const {
+std::vector<Duration> LinkFaults::connection_close_times() const {
   std::vector<Duration> times;
   for (const auto& fault : faults_) {
     const bool closes_connections =
--- a/lab/fleet/faults.hpp
+++ b/lab/fleet/faults.hpp
@@ -42,11 +42,12 @@
   /// Decides how a datagram that is sent at `now` is delivered.
   DatagramDelivery deliver_datagram(Duration now);
   /// Decides what happens to the bytes of a stream that are read at `now`. `connection` is the number of the
-  /// connection on its link. It selects the share of connections that a fault of connections affects.
+  /// connection on its link. If a fault affects only a share of the connections, this number decides
+  /// whether it affects this one.
   StreamAction stream_action(Duration now, std::uint64_t connection = 0);
-  /// Returns the times at which faults begin that close connections. The relay checks its open connections
-  /// then.
-  [[nodiscard]] std::vector<Duration> connection_cut_times() const;
+  /// Returns the start times of the faults that close connections. The relay checks its open connections at
+  /// these times.
+  [[nodiscard]] std::vector<Duration> connection_close_times() const;
   [[nodiscard]] const std::vector<LinkFault>& faults() const { return faults_; }
 
  private:
--- a/lab/fleet/history.hpp
+++ b/lab/fleet/history.hpp
@@ -23,9 +23,8 @@
   kLost,      ///< the connection closed before the answer
   kReleased,  ///< the router reported the end of an established call
   // Observed by a session server
-  /// A complete attempt arrived from router `peer`; `number`: the number of the attempt of its call, from 1,
-  /// or 0
-  /// if unknown.
+  /// A complete attempt arrived from router `peer`; `number`: the attempt's number within its call,
+  /// from 1, or 0 if unknown.
   kInvite,
   kAnswered,   ///< the server answered; `text`: the session description
   kDenied,     ///< the server refused the attempt; `number`: the status
--- a/lab/fleet/relay.cpp
+++ b/lab/fleet/relay.cpp
@@ -103,7 +103,7 @@
     std::deque<Chunk> queue;  ///< read from this socket, not yet written to the other side
     std::size_t held_bytes = 0;
     bool is_writing = false;
-    bool is_paused = false;
+    bool is_reading_suspended = false;
     bool is_finished = false;
     std::array<char, 16 * 1024> buffer;
   };
@@ -159,10 +159,10 @@
     write(side);
     if (is_finished) return;
     if (next_read > now) {
-      side.is_paused = true;  // until the held bytes are written, which is at the same time
+      side.is_reading_suspended = true;  // until the held bytes are written, which is at the same time
     } else if (side.held_bytes >= kMaxHeldBytes) {
-      side.is_paused = true;
-      ++counts.reads_paused;
+      side.is_reading_suspended = true;
+      ++counts.reads_postponed;
     } else {
       read(side);
     }
@@ -197,8 +197,8 @@
                         }
                         side.held_bytes -= written;
                         side.queue.pop_front();
-                        if (side.is_paused && side.held_bytes < kMaxHeldBytes) {
-                          side.is_paused = false;
+                        if (side.is_reading_suspended && side.held_bytes < kMaxHeldBytes) {
+                          side.is_reading_suspended = false;
                           self->read(side);
                         }
                         self->write(side);
@@ -220,9 +220,9 @@
       target_(std::move(target)),
       counts_(counts),
       acceptor_(context.io, tcp::endpoint(kLoopback, 0)),
-      where_(acceptor_.local_endpoint()) {
-  schedule_connection_cuts(forward_faults_);
-  schedule_connection_cuts(backward_faults_);
+      listen_endpoint_(acceptor_.local_endpoint()) {
+  schedule_connection_closes(forward_faults_);
+  schedule_connection_closes(backward_faults_);
   accept();
 }
 
@@ -234,20 +234,20 @@
   timers_.clear();
   forward_faults_ = LinkFaults(schedule, from, to);
   backward_faults_ = LinkFaults(schedule, to, from);
-  schedule_connection_cuts(forward_faults_);
-  schedule_connection_cuts(backward_faults_);
+  schedule_connection_closes(forward_faults_);
+  schedule_connection_closes(backward_faults_);
 }
 
-void StreamRelay::schedule_connection_cuts(const LinkFaults& faults) {
-  for (const auto time : faults.connection_cut_times()) {
+void StreamRelay::schedule_connection_closes(const LinkFaults& faults) {
+  for (const auto time : faults.connection_close_times()) {
     auto& timer = timers_.emplace_back(context_.io, time - context_.now());
     timer.async_wait([this](const asio::error_code& error) {
-      if (!error) apply_connection_cuts();
+      if (!error) close_affected_connections();
     });
   }
 }
 
-void StreamRelay::apply_connection_cuts() {
+void StreamRelay::close_affected_connections() {
   for (const auto& connection : std::list(relayed_connections_)) {
     for (auto* faults : {&forward_faults_, &backward_faults_}) {
       const auto kind = faults->stream_action(context_.now(), connection->number()).kind;
--- a/lab/fleet/relay.hpp
+++ b/lab/fleet/relay.hpp
@@ -29,7 +29,7 @@
   std::uint64_t connections = 0, chunks = 0, bytes = 0;
   std::uint64_t datagrams = 0, datagrams_lost = 0, datagrams_duplicated = 0;
   std::uint64_t chunks_held = 0, chunks_discarded = 0, connections_reset = 0, connections_finished = 0;
-  std::uint64_t reads_paused = 0;  ///< reads postponed because kMaxHeldBytes was reached
+  std::uint64_t reads_postponed = 0;  ///< reads postponed because kMaxHeldBytes was reached
 };
 
 /// Bytes held for one direction of a connection at which the relay stops reading.
@@ -37,7 +37,7 @@
 /// Datagrams held for one link at which the relay drops further ones.
 inline constexpr std::size_t kMaxHeldDatagrams = 1024;
 
-/// One TCP link. Forwards each connection to the address `listen_endpoint()` to the target.
+/// One TCP link. Accepts connections at listen_endpoint() and forwards each to the target.
 class StreamRelay {
  public:
   StreamRelay(RunContext& context, const Schedule& schedule, const std::string& from, const std::string& to,
@@ -47,7 +47,7 @@
   StreamRelay& operator=(const StreamRelay&) = delete;
 
   /// Returns the address on which the relay listens.
-  [[nodiscard]] asio::ip::tcp::endpoint listen_endpoint() const { return where_; }
+  [[nodiscard]] asio::ip::tcp::endpoint listen_endpoint() const { return listen_endpoint_; }
   /// Replaces the schedule. The faults of a fleet begin only when all of its routers are ready.
   void set_schedule(const Schedule& schedule, const std::string& from, const std::string& to);
 
@@ -56,9 +56,9 @@
   void accept();
   void on_accepted(asio::ip::tcp::socket socket);
   /// Closes the open connections that a fault affects now.
-  void apply_connection_cuts();
+  void close_affected_connections();
   /// Sets a timer for the start of each fault that closes connections.
-  void schedule_connection_cuts(const LinkFaults& faults);
+  void schedule_connection_closes(const LinkFaults& faults);
 
   RunContext& context_;
   LinkFaults forward_faults_, backward_faults_;
@@ -66,7 +66,7 @@
   RelayCounts& counts_;
   std::uint64_t connection_count_ = 0;
   asio::ip::tcp::acceptor acceptor_;
-  asio::ip::tcp::endpoint where_;
+  asio::ip::tcp::endpoint listen_endpoint_;
   std::list<std::shared_ptr<RelayedConnection>> relayed_connections_;
   std::list<asio::steady_timer> timers_;
 };
--- a/lab/fleet/runner.cpp
+++ b/lab/fleet/runner.cpp
@@ -25,7 +25,7 @@
 
 constexpr Duration kReadyTimeout = seconds{10};
 // The platform sends SIGKILL no earlier than the longest deadline, which is 3 s here, plus 0.7 s after
-// SIGTERM (PROTOCOL, DAYS).
+// SIGTERM (the operators' pages PROTOCOL and DAYS).
 constexpr Duration kKillDelay = milliseconds{3700};
 constexpr Duration kExitTimeout = milliseconds{4500};
 constexpr Duration kPollInterval = milliseconds{10};
--- a/lab/fleet/schedule.hpp
+++ b/lab/fleet/schedule.hpp
@@ -40,7 +40,9 @@
   std::vector<std::string> from, to;  ///< names of nodes; a name that ends in `*` is a prefix
   bool both_ways = false;
   Duration at{}, until{};
-  double share = 1;  ///< of the messages, or of a link's connections for faults of connections
+  /// The share of the messages that are affected; for kReset and kFinish, and for kHalfOpen, kStall and
+  /// kPartition of streams, the share of the link's connections.
+  double share = 1;
   Duration fixed{}, jitter{};
 };
 
--- a/lab/fleet/simulation.cpp
+++ b/lab/fleet/simulation.cpp
@@ -509,7 +509,8 @@
     });
   }
 
-  /// Sends the release again until it arrives, as servers do on a new connection after a lost one (PROTOCOL).
+  /// Sends the release again until it arrives, as servers do on a new connection after a lost one
+  /// (the operators' page PROTOCOL).
   void send_release(const AttemptInTransit& attempt, std::size_t server_index, Duration until,
                     const std::shared_ptr<bool>& is_received) {
     if (*is_received || now_ >= until) return;
--- a/lab/fleet/simulation.hpp
+++ b/lab/fleet/simulation.hpp
@@ -1,6 +1,6 @@
 // Simulates a fleet in simulated time. Each router runs the product's core and decision module; schedule,
 // faults, history and checker are those of a fleet of processes. No socket, thread or real clock is used, so
-// that a thousand routers take seconds.
+// that a run with a thousand routers takes only seconds.
 #pragma once
 
 #include "lab/fleet/checker.hpp"
--- a/lab/fleet/stand_ins.cpp
+++ b/lab/fleet/stand_ins.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-// How long an unconfirmed release is sent again (PROTOCOL).
+// How long an unconfirmed release is sent again (the operators' page PROTOCOL).
 constexpr Duration kReleaseRetention = std::chrono::seconds{8};
-// How long before a close a set-up counts as having crossed it (PROTOCOL).
+// A set-up sent at most this long before the router closed the connection is sent again (the operators'
+// page PROTOCOL).
 constexpr Duration kResendWindow = milliseconds{50};
 constexpr Duration kReconnectDelay = milliseconds{30};
 const asio::ip::tcp::endpoint kAnyPort{asio::ip::address_v4::loopback(), 0};
@@ -72,7 +73,8 @@
           auto stream = std::make_shared<net::TcpConnection>(loop_, *this);
           connections_[stream.get()] = {stream, router};
           stream->start_accepted(std::move(socket));
-          // Releases that the router has not confirmed are sent again on its next connection (PROTOCOL).
+          // Releases that the router has not confirmed are sent again on its next connection (the
+          // operators' page PROTOCOL).
           std::erase_if(unconfirmed_releases_, [this](const Release& release) {
             return context_.now() - release.since > kReleaseRetention;
           });
@@ -198,7 +200,8 @@
       ++it;
       continue;
     }
-    // Set-ups in progress on a connection end when it closes (PROTOCOL); established calls continue.
+    // Set-ups in progress on a connection end when it closes (the operators' page PROTOCOL);
+    // established calls continue.
     record(EventKind::kBroken, it->first, call.router);
     loop_.timers.cancel(call.timer);
     --set_ups_in_progress_;
@@ -346,7 +349,7 @@
   for (auto it = pending_.begin(); it != pending_.end();) {
     auto& [id, set_up] = *it;
     // A set-up that was sent at most 50 ms before the router closed the connection is sent again, once, on a
-    // new connection (PROTOCOL).
+    // new connection (the operators' page PROTOCOL).
     if (reason == net::CloseReason::kClosedByPeer && !set_up.is_resent &&
         context_.now() - set_up.sent_at <= kResendWindow) {
       has_resend = set_up.is_resent = true;
--- a/lab/fleet/stand_ins.hpp
+++ b/lab/fleet/stand_ins.hpp
@@ -135,7 +135,8 @@
   ~CommandChannel() override;
   /// Returns the address on which the channel listens.
   [[nodiscard]] asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  /// Sends an event to all subscribers. `nodes` is the endpoint list, as in the example of PROTOCOL.
+  /// Sends an event to all subscribers. `nodes` is the endpoint list, as in the example of
+  /// the operators' page PROTOCOL.
   void publish(const std::string& nodes);
   /// Returns all events so far, as the value of `known` in a configuration.
   [[nodiscard]] std::string known_events() const;
--- a/src/diameter/codec.cpp
+++ b/src/diameter/codec.cpp
@@ -26,7 +26,8 @@
   std::uint32_t code;
   AvpType type;
 };
-// AVPs of the base protocol and of Credit-Control. A sender may set the M bit only on these.
+// AVPs of the base protocol and of Credit-Control. The M bit on any other AVP is rejected with
+// DIAMETER_AVP_UNSUPPORTED.
 constexpr std::array kKnownAvps = {
     KnownAvp{1, AvpType::kOctetString},   KnownAvp{25, AvpType::kOctetString},
     KnownAvp{33, AvpType::kOctetString},  KnownAvp{55, AvpType::kUnsigned32},
--- a/src/diameter/connection_pool.cpp
+++ b/src/diameter/connection_pool.cpp
@@ -224,7 +224,8 @@
     ++counters_.withdrawn_set_ups;
     return true;
   }
-  // Credit-Control has no cancel: the session is terminated, and once more if a success answer crosses this.
+  // Credit-Control has no cancel request, so the session is terminated. If a success answer is already on its
+  // way, on_answer() terminates the session a second time.
   terminate_session(server, session_id);
   return false;
 }
@@ -287,8 +288,8 @@
   peer.send(ccr);
 }
 
-// A draining server must not get new set-ups from the moment it is known: a set-up still queued on a blocked
-// connection is never written.
+// Once a server is known to be draining, it must not get new set-ups, so set-ups that are still queued on a
+// blocked connection are withdrawn.
 void ConnectionPool::withdraw_queued(Server& server) {
   if (!server.peer || !server.peer->is_up()) return;
   std::vector<core::AttemptId> withdrawn;
@@ -321,7 +322,8 @@
   const auto meaning = find_meaning(result);
   const auto found = server.calls_by_hop_by_hop.find(message.hop_by_hop);
   if (found == server.calls_by_hop_by_hop.end()) {
-    // A success answer to an attempt that is already over: the session is terminated, and no caller is told.
+    // A success answer to an attempt that is already over: the session is terminated, and no caller is
+    // notified.
     const bool is_initial =
         message.number(AvpCode::kCcRequestType) == static_cast<std::uint32_t>(RequestType::kInitial);
     const std::string session_id(message.text(AvpCode::kSessionId));
--- a/src/diameter/connection_pool.hpp
+++ b/src/diameter/connection_pool.hpp
@@ -62,7 +62,7 @@
   void end_unanswered(Server& server, Outcome outcome);
   void on_answer(Server& server, const Message& message);
   void on_abort(Server& server, const Message& message);
-  /// Marks the queued request of an attempt, so that it can be withdrawn.
+  /// Returns the tag with which an attempt's request is queued, so that it can be withdrawn.
   static net::TcpConnection::Tag tag(const core::AttemptId& attempt) {
     return (static_cast<net::TcpConnection::Tag>(attempt.call) << 8U) + attempt.attempt + 1;
   }
--- a/src/diameter/frontend.cpp
+++ b/src/diameter/frontend.cpp
@@ -15,11 +15,13 @@
 
 using std::chrono::milliseconds;
 
-// For this time the client's termination of an aborted session is answered with success.
+// How long an aborted session is kept, so that the client's termination request for it is answered with
+// success.
 constexpr Duration kAbortedSessionRetention = std::chrono::seconds{30};
 constexpr std::size_t kMaxSessions = 20'000;
 
-/// Returns the AVP of the message for Failed-AVP, or an example of it if the message lacks it.
+/// Returns the AVP to report in Failed-AVP: the one in the message or, if it is absent, the example that
+/// missing_avp() makes.
 std::string avp_or_example(const Message& message, AvpCode code) {
   const auto* avp = message.find(code);
   return avp != nullptr ? std::string(avp->encoded) : missing_avp(code);
@@ -185,16 +187,16 @@
   set_up.request.preferred_pool = find_pool_(message.text(AvpCode::kDestinationHost));
   if (translator_ != nullptr) {
     using translate::Meaning;
-    auto message = std::make_unique<translate::Message>(
+    auto set_up_message = std::make_unique<translate::Message>(
         dialect_index_, translator_->client_dialect(dialect_index_).of(translate::MessageKind::kSetUp));
-    message->set(Meaning::kCall, set_up.id);
-    message->set(Meaning::kClass, set_up.call_class);
-    message->set(Meaning::kNumber, set_up.number);
-    message->set(Meaning::kTenant, tenant_name);
-    message->set(Meaning::kDescription, set_up.description);
-    message->set(Meaning::kRemainingWait, max_wait.count() / 1000);
-    set_up.request.excluded_versions = translator_->ineligible_dialects(*message, scratch_);
-    set_up.message = std::move(message);
+    set_up_message->set(Meaning::kCall, set_up.id);
+    set_up_message->set(Meaning::kClass, set_up.call_class);
+    set_up_message->set(Meaning::kNumber, set_up.number);
+    set_up_message->set(Meaning::kTenant, tenant_name);
+    set_up_message->set(Meaning::kDescription, set_up.description);
+    set_up_message->set(Meaning::kRemainingWait, max_wait.count() / 1000);
+    set_up.request.excluded_versions = translator_->ineligible_dialects(*set_up_message, scratch_);
+    set_up.message = std::move(set_up_message);
   }
   const CallId call = table_.add_call(*this, std::move(set_up));
   // Only the parts of the request that the answer repeats are kept.
--- a/src/diameter/frontend.hpp
+++ b/src/diameter/frontend.hpp
@@ -53,7 +53,8 @@
     std::shared_ptr<Peer> peer;  ///< the connection for the answer; null after it is closed
     std::string request;         ///< the parts of the initial request that its answer repeats, encoded
     bool is_answered = false;
-    bool is_aborted = false;  ///< released here; the client has not terminated it yet
+    /// Released by the router; the client's termination request has not arrived yet.
+    bool is_aborted = false;
   };
 
   ResultCode admit(Peer& peer) override;
@@ -68,7 +69,8 @@
   void on_initial_request(Peer& peer, const Message& message);
   /// Handles an update or termination request.
   void on_update_or_termination(Peer& peer, const Message& message, RequestType type);
-  /// Answers a request with the result of `fault`: a refused initial request or a later request.
+  /// Answers a request with the Result-Code of `fault`. An initial request that was admitted is answered by
+  /// answer_initial_request() instead.
   void reply(Peer& peer, const Message& to, const Fault& fault);
   /// Sends the only answer to an initial request. Returns false if the connection is closed or the answer
   /// would be too long.
--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -206,8 +206,8 @@
 
 void Peer::on_origin_state_id(const Message& message) {
   const auto id = message.number(AvpCode::kOriginStateId);
-  // An id of zero or no id does not tell about restarts. A lower id than before comes from a clock that was
-  // set back, not from a restart.
+  // An id of zero or a missing id says nothing about restarts. A lower id than before is ignored, since it
+  // may come from a clock that was set back.
   if (!id || *id == 0) return;
   auto& last = handler_.last_state_id(*this);
   const std::uint32_t previous = std::exchange(last, std::max(*id, last));
--- a/src/iso8583/codec.cpp
+++ b/src/iso8583/codec.cpp
@@ -103,8 +103,8 @@
         return is_digit(c) || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == ' ';
       });
     case Kind::kText:
-      // Descriptions hold line breaks and letters of other alphabets, so these are allowed. Such texts are
-      // not shown unchanged.
+      // Descriptions hold line breaks and letters of other alphabets, so these are allowed. describe()
+      // shows only the length of texts of variable length.
       return std::none_of(text.begin(), text.end(), [](char c) { return c == '\0' || c == '\x7f'; });
     case Kind::kTrack:
       return std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '?'; });
@@ -266,7 +266,8 @@
     output += ' ';
     output += std::to_string(number);
     output += '=';
-    // A terminal may write a card number into a free text, too. So only elements of fixed length are shown.
+    // A terminal may also write a card number into a text of variable length, so only elements of fixed
+    // length are shown.
     const auto& format = kElementTable[number];
     const bool is_shown = !is_secret(number) && format.kind != Kind::kBytes && format.length_digits == 0;
     if (is_shown) {
--- a/src/iso8583/codec.hpp
+++ b/src/iso8583/codec.hpp
@@ -34,8 +34,8 @@
 /// Returns the format of an element; a number above kElementCount gives that of the last element.
 const Element& element(std::size_t number);
 
-/// Returns true for elements with confidential data, which must not be logged, counted or shown: card number
-/// (2), extended account number (34), tracks (35, 36, 45) and PIN block (52).
+/// Returns true for elements with confidential data, which must not appear in logs, counters or other output:
+/// card number (2), extended account number (34), tracks (35, 36, 45) and PIN block (52).
 bool is_secret(std::size_t number);
 
 /// The message type indicator: one digit each for version (0 for 1987), class, function and origin.
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -1,6 +1,6 @@
 // The operators' command line: parses the arguments, reads the files and runs the commands of
-// tool/commands.hpp. Exits with 0 on success, 1 if a file or message is invalid, and 2 on wrong usage or an
-// unreadable file.
+// tool/commands.hpp. Exits with 0 on success, 1 if a checked file, a table or a message is invalid, and 2 on
+// wrong usage, an unreadable file or an invalid file given with --operator.
 #include <CLI/CLI.hpp>
 #include <exception>
 #include <iostream>
@@ -24,7 +24,8 @@
   int status = 0;
 
   std::vector<std::string> files;
-  auto* check = program.add_subcommand("check", "check whether a router starts with these operator's files");
+  auto* check =
+      program.add_subcommand("check", "check whether a router starts with each of these operator files");
   check->add_option("FILE", files, "files to check")->required();
   check->callback([&] {
     for (const auto& file : files) {
--- a/src/translate/dialect.hpp
+++ b/src/translate/dialect.hpp
@@ -73,7 +73,7 @@
     return fields[static_cast<std::size_t>(kind)];
   }
 };
-/// Most fields that a message may have.
+/// Maximum number of fields in a message.
 inline constexpr std::size_t kMaxFields = 32;
 
 /// Returns the index of the field with that name, or the number of fields if there is none.
--- a/src/translate/duplicates.hpp
+++ b/src/translate/duplicates.hpp
@@ -32,7 +32,7 @@
   kReversed,  ///< a reversal ended the request or arrived before it
 };
 
-/// Bounds of the index.
+/// Size limits of the index and lifetimes of its entries.
 struct DuplicateRules {
   std::size_t max_bytes = 1 << 20;                  ///< size of the index, including the kept answers
   std::size_t max_answer_bytes = 1024;              ///< longer answers are not kept
--- a/src/translate/eligibility.cpp
+++ b/src/translate/eligibility.cpp
@@ -58,7 +58,8 @@
   return mappings_[client * servers_.size() + static_cast<std::size_t>(server)].get();
 }
 
-Translator::Eligibility Translator::rule(std::size_t client, const Record& set_up, Record& scratch) const {
+Translator::Eligibility Translator::check_eligibility(std::size_t client, const Record& set_up,
+                                                      Record& scratch) const {
   Eligibility eligibility;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
     const auto dialect_index = static_cast<DialectIndex>(i);
@@ -73,7 +74,8 @@
 DialectSet Translator::ineligible_dialects(const Message& message, Record& scratch) const {
   if (find_invalid_field(clients_[message.client_dialect()].of(MessageKind::kSetUp), message.record()))
     return translated_dialects_;
-  return rule(message.client_dialect(), message.record(), scratch).ineligible & translated_dialects_;
+  return check_eligibility(message.client_dialect(), message.record(), scratch).ineligible &
+         translated_dialects_;
 }
 
 }  // namespace amberknot::translate
--- a/src/translate/eligibility.hpp
+++ b/src/translate/eligibility.hpp
@@ -51,7 +51,7 @@
     std::array<MappingResult, kMaxDialects> results{};
   };
   /// Tries the set-up in every server dialect. `scratch` is overwritten.
-  Eligibility rule(std::size_t client, const Record& set_up, Record& scratch) const;
+  Eligibility check_eligibility(std::size_t client, const Record& set_up, Record& scratch) const;
 
   /// Returns the server dialects that cannot take a set-up as read by a frontend. Only translated dialects
   /// are excluded: the SIP and Diameter connections take the fields without translation. A set-up that is
--- a/src/translate/mapping.cpp
+++ b/src/translate/mapping.cpp
@@ -114,7 +114,8 @@
   for (const auto& step : steps_) {
     const bool source_present = step.source_always_present || from.has(step.from);
     if (source_present && apply(step, from, to)) continue;
-    // An optional field without a source value is left out.
+    // An optional field without a source value is left out, even if its fallback is not-eligible, unless its
+    // fallback is a constant.
     if (!source_present && step.target_optional && step.otherwise != Fallback::kText &&
         step.otherwise != Fallback::kNumber)
       continue;
@@ -210,7 +211,7 @@
       }
     };
     search(builtin_table(), 0);
-    search(operator_table_, 10);
+    search(operator_table_, 10);  // greater than any specificity(), so the operator's rows take precedence
     return best;
   }
 
@@ -290,7 +291,7 @@
       step.needs_check = from.min < to.min || from.max > to.max;
     } else if (from.type == FieldType::kDigits && to.type == FieldType::kNumber) {
       step.op = Op::kParse;
-      // Up to 18 digits fit in 64 bits; their number limits the value.
+      // Up to 18 digits fit in 64 bits, so the maximum count of digits bounds the value.
       std::int64_t power_of_ten = 1;
       for (std::int64_t i = 0; i < std::min<std::int64_t>(from.max, 18); ++i) power_of_ten *= 10;
       step.needs_check = from.max > 18 || to.min > 0 || power_of_ten - 1 > to.max;
@@ -406,9 +407,10 @@
         description += "; otherwise not eligible";
       }
     } else if (source_may_be_missing) {
-      return add_fault(spec.name, "is required, and its source may be missing: add otherwise");
+      return add_fault(spec.name, "is required, and its source may be missing: its row needs \"otherwise\"");
     } else if (value_may_be_invalid) {
-      return add_fault(spec.name, "may get a value that it cannot hold (" + description + "): add otherwise");
+      return add_fault(spec.name, "may get a value that it cannot hold (" + description +
+                                      "): its row needs \"otherwise\"");
     }
     program_.steps_.push_back(step);
     add_note(spec.name, std::move(description));
@@ -440,7 +442,9 @@
              "lost: " + (declared->loss_reason.empty() ? "declared" : declared->loss_reason), true});
       } else if (std::find(lookup_sources_.begin(), lookup_sources_.end(), i) != lookup_sources_.end()) {
         // The field has selected the value of another field, which carries its information.
-        program_.notes_.push_back({sources()[i].name, "carried by the field that is looked up by it", false});
+        program_.notes_.push_back({sources()[i].name,
+                                   "not copied; it selects the value of another field by a lookup table",
+                                   false});
       } else if (!has_one_value) {
         add_fault(sources()[i].name, "is not carried to any field and not declared lost");
       }
--- a/src/translate/mapping.hpp
+++ b/src/translate/mapping.hpp
@@ -122,7 +122,7 @@
     std::uint8_t to = 0;                 ///< index of the target field
     bool needs_check = true;             ///< whether the value may be invalid for the target field
     bool source_always_present = false;  ///< true for required source fields and constants
-    bool target_optional = false;        ///< whether the target field is left out if the source is missing
+    bool target_optional = false;        ///< whether the target field is optional
     Fallback otherwise = Fallback::kNotEligible;
     std::uint16_t operand = 0;            ///< index in constants_, lookup_tables_ or rules_, by `op`
     std::uint16_t fallback_constant = 0;  ///< index in constants_ for Fallback::kText and kNumber
--- a/src/translate/table.cpp
+++ b/src/translate/table.cpp
@@ -304,7 +304,7 @@
     const auto reason = reason_from_name(read_string(value, path, "reason"));
     if (!reason) add_fault(path + ".reason", "is not a known reason");
     const auto ran = read_string(value, path, "ran");
-    if (ran != "no" && ran != "maybe") add_fault(path + ".ran", "is neither no nor maybe");
+    if (ran != "no" && ran != "maybe") add_fault(path + ".ran", "is not one of no, maybe");
     const auto about = read_string(value, path, "about");
     if (about != "server" && about != "version" && about != "call") {
       add_fault(path + ".about", "is not one of server, version, call");
--- a/src/translate/table.hpp
+++ b/src/translate/table.hpp
@@ -47,7 +47,9 @@
 using Otherwise = std::variant<NotEligible, LeaveOut, Constant>;
 
 /// Defines the source of a target field, or declares that a source field is lost. `from` and `to` name
-/// dialects, or are `*` for any. If several rows match, the one that names more dialects applies.
+/// dialects, or are `*` for any. If several rows match, rows of the operator take
+/// precedence over built-in ones, then rows that name more dialects. Two rows with the same precedence are a
+/// fault.
 struct MappingRow {
   std::string from = "*";
   std::string to = "*";
@@ -80,7 +82,7 @@
 std::vector<std::string> parse_operator_table(std::string json, MappingTable& to);
 std::vector<std::string> parse_operator_table(const rapidjson::Value& value, MappingTable& to);
 
-/// Most bytes that a rule may produce.
+/// Maximum number of bytes that a rule may produce.
 inline constexpr std::size_t kMaxDerivedBytes = 64;
 /// Derives a text for the field `target` from the text `in`. Writes at most kMaxDerivedBytes bytes to `out`
 /// and their number to `size`. Returns false if no text can be derived.
--- a/src/translate/versions.cpp
+++ b/src/translate/versions.cpp
@@ -81,8 +81,8 @@
   }
   if (!is_new_process) return;
   // After a change of address no existing connection leads to the new process. At the same address,
-  // connections may have reached the new process before the list announces it, and those to the old process
-  // get no answer: the newest connection is used.
+  // connections are kept: some may have reached the new process before the list announced it. Requests on
+  // connections to the old process get no answer, so the versions are requested on the newest connection.
   if (address_changed) server.connections.clear();
   discard_learned(id, server, actions);
   request_versions(now, id, server, actions);
--- a/src/translate/versions.hpp
+++ b/src/translate/versions.hpp
@@ -66,8 +66,8 @@
   /// only be configured, because its servers do not announce it (SIP and Diameter).
   Versions(VersionRules rules, std::vector<std::uint32_t> ranks) : rules_(rules), ranks_(std::move(ranks)) {}
 
-  /// The list of servers names a server. `started` is larger for each new process of it; a changed address
-  /// also means a new process. `configured` is the dialect that the operator set, if any.
+  /// The list of servers contains this server. `started` is larger for each new process of the server; a
+  /// changed address also means a new process. `configured` is the dialect that the operator set, if any.
   void on_server_listed(Instant now, ServerId server, std::string_view address, std::int64_t started,
                         std::optional<DialectIndex> configured, Actions& actions);
   /// The server was removed from the list. Its calls keep their pinned dialect.
@@ -130,8 +130,9 @@
     Duration retry_delay{};
   };
 
-  /// Returns the server if its answer on this connection is valid, otherwise null: the dialect is configured,
-  /// or the connection is not an established one of the server.
+  /// Returns the server whose answer arrived on this connection. Returns null if the answer is to be ignored:
+  /// the server is not listed, its dialect is configured, or the connection is not one of its established
+  /// connections.
   Server* find_connected(ServerId id, std::uint64_t connection);
   /// Requests the versions on the newest connection, if there is one.
   void request_versions(Instant now, ServerId id, Server& server, Actions& actions);
--- a/tests/fleet_rig_test.cpp
+++ b/tests/fleet_rig_test.cpp
@@ -142,7 +142,7 @@
     CHECK(delivery.count == row.datagrams);
     const bool is_delayed = row.kind == K::kDelay || row.kind == K::kReorder;
     if (delivery.count > 0) CHECK((delivery.delays[0] >= milliseconds{30}) == is_delayed);
-    CHECK(link.connection_cut_times().size() == (row.kind == K::kReset || row.kind == K::kFinish ? 1 : 0));
+    CHECK(link.connection_close_times().size() == (row.kind == K::kReset || row.kind == K::kFinish ? 1 : 0));
     LinkFaults back(schedule, "s1", "n3");
     LinkFaults other(schedule, "n3", "s2");
     for (auto* unaffected : {&back, &other}) {
--- a/tests/translate_test.cpp
+++ b/tests/translate_test.cpp
@@ -276,7 +276,7 @@
   auto unlisted = values;
   unlisted["tenant"] = "warung";
   fill(in, from, unlisted);
-  const auto eligibility = translator.rule(0, in, out);
+  const auto eligibility = translator.check_eligibility(0, in, out);
   const auto two = *translator.server_dialect_index("session-2");
   CHECK(eligibility.ineligible == version_set(two));
   CHECK(eligibility.results[static_cast<std::size_t>(two)].failure == MappingFailure::kNotInTable);
