--- a/tests/admin_server_test.cpp
+++ b/tests/admin_server_test.cpp
@@ -105,7 +105,7 @@
   fixture.wait_for_messages_in_transit();
 }
 
-TEST_CASE("stats counts the outcomes of a fulfilled, a refused and an invalid call") {
+TEST_CASE("stats counts the outcomes of a completed, a rejected and an invalid call") {
   AdminServerFixture fixture;
   fixture.announce_server();
   fixture.establish_call(kCallId);  // fulfilled with one relayed attempt
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -432,7 +432,7 @@
   EXPECT_EQ(count_forwards_to(scenario.at(20ms).end_attempt(1, 1, Outcome::kFull), 2), 1U);
 }
 
-TEST(Full, ARequestedRetryDelayIsKept) {
+TEST(Full, ARequestedRetryDelayIsObserved) {
   Scenario scenario;
   scenario.update_endpoints({ready_endpoint(1)});
   scenario.start_call(1, 1);
@@ -482,7 +482,7 @@
 
 // Guards against taking "full" as the answer to a health check for a dead server: with the full number of
 // senders, all checked an overloaded server at once and exceeded the checks that it accepts.
-TEST(HealthCheck, ARefusedCheckShowsThatTheServerIsAlive) {
+TEST(HealthCheck, ARejectedHealthCheckShowsThatTheServerIsAlive) {
   Scenario scenario;
   scenario.update_endpoints({ready_endpoint(1)});
   scenario.start_call(1, 1);
@@ -613,9 +613,9 @@
     scenario.at(2s).update_endpoints({endpoint_in_state(1, EndpointState::kRemoved)},
                                      EndpointUpdateScope::kDelta);
     scenario.start_call(2, 1, 0, 100ms);
-    const auto refused = actions_of<RejectCall>(scenario.run_timer_until(2200ms));
-    ASSERT_EQ(refused.size(), 1U);
-    EXPECT_EQ(refused[0].retry_after, is_overloaded ? Duration{2s} : Duration{0});
+    const auto rejections = actions_of<RejectCall>(scenario.run_timer_until(2200ms));
+    ASSERT_EQ(rejections.size(), 1U);
+    EXPECT_EQ(rejections[0].retry_after, is_overloaded ? Duration{2s} : Duration{0});
   }
 }
 
@@ -670,7 +670,7 @@
 
 // Guards against taking the age of one lost set-up for overload: on a lossy link a server without load got no
 // calls for 8 s. Seen in an incident.
-TEST(LostSetup, ASetupOvertakenByLaterOnesIsCancelledAndIsNoSignOfOverload) {
+TEST(LostSetup, AnUnansweredSetupIsCancelledAfterLaterOnesAreAnsweredAndIsNoSignOfOverload) {
   Scenario scenario;
   scenario.update_endpoints({ready_endpoint(1)});
   scenario.start_call(1, 1);
--- a/tests/bad_clients_test.cpp
+++ b/tests/bad_clients_test.cpp
@@ -23,14 +23,14 @@
   fixture.announce_server();
   fixture.establish_call(kCallA);
   const Instant connected_at = Loop::now();
-  const auto silent = fixture.connect(fixture.router->callers_endpoint());
+  const auto idle = fixture.connect(fixture.router->callers_endpoint());
   const auto partial_line = fixture.connect(fixture.router->callers_endpoint());
   partial_line->stream->send("{\"msg\":\"open\",\"sid\":");
   const auto useless = fixture.connect(fixture.router->callers_endpoint());
   useless->stream->send("{\"msg\":\"close\",\"sid\":\"" + kCallB + "\",\"attrs\":{},\"code\":16}\n");
   // A release of an unknown id is confirmed too.
   fixture.run_until([&] { return useless->has_received("\"closed\",\"sid\":\"" + kCallB); });
-  fixture.run_until([&] { return silent->closed && partial_line->closed && useless->closed; });
+  fixture.run_until([&] { return idle->closed && partial_line->closed && useless->closed; });
   CHECK(Loop::now() - connected_at < milliseconds{3000});
   CHECK(fixture.router->counters().idle_connections_closed == 3);
   // A caller with an established call may be idle.
@@ -39,7 +39,7 @@
 }
 
 // Guards against new callers that are rejected because idle connections hold all places.
-TEST_CASE("at the connection limit, silent connections are closed and new ones accepted") {
+TEST_CASE("at the connection limit, idle connections are closed and new ones accepted") {
   auto config = router_config();
   config.max_sockets = 32;
   RouterFixture fixture({}, config);
@@ -47,10 +47,10 @@
   fixture.establish_call(kCallA);
   fixture.send_set_up(kCallB);  // unanswered, so its connection is kept
   fixture.wait_for_invite(kCallB);
-  std::vector<std::unique_ptr<TestConnection>> silent;
+  std::vector<std::unique_ptr<TestConnection>> idle;
   for (int i = 0; i < 30; ++i) {
-    silent.push_back(fixture.connect(fixture.router->callers_endpoint()));
-    fixture.run_until([&] { return silent.back()->stream->is_open(); });
+    idle.push_back(fixture.connect(fixture.router->callers_endpoint()));
+    fixture.run_until([&] { return idle.back()->stream->is_open(); });
   }
   const auto new_caller = fixture.connect(fixture.router->callers_endpoint());
   new_caller->stream->send(health_check_line(kCallA));
@@ -79,18 +79,18 @@
     fixture.wait_for_messages_in_transit();
     CHECK_FALSE(fixture.caller->closed);
   }
-  SUBCASE("its own connection is closed, and a silent one is newer than one in use") {
+  SUBCASE("its own connection is closed, and an idle one is newer than one in use") {
     const auto used = fixture.connect(fixture.router->callers_endpoint());
     used->stream->send(health_check_line(kCallB));
     fixture.run_until([&] { return used->has_received("\"probed\""); });
-    const auto silent = fixture.connect(fixture.router->callers_endpoint());
+    const auto unused = fixture.connect(fixture.router->callers_endpoint());
     fixture.run_until([&] { return fixture.router->caller_connections() == 3; });
     fixture.caller->stream->close();
     fixture.run_until([&] { return fixture.router->caller_connections() == 2; });
     end.stream->send(
         RouterFixture::sip_message("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n"));
     fixture.run_until([&] { return used->has_received("\"close\",\"sid\":\"" + kCallA); });
-    CHECK(silent->received.empty());
+    CHECK(unused->received.empty());
     return;
   }
   end.stream->send(
--- a/tests/bad_peers_test.cpp
+++ b/tests/bad_peers_test.cpp
@@ -115,18 +115,19 @@
 
 // Guards against waiting on a connection that is open but stalled, while other connections answer set-ups
 // that were sent later.
-TEST_CASE("a silent connection overtaken by others is closed, and its call is set up again") {
+TEST_CASE(
+    "a connection without answers is closed once others answer later set-ups, and its call is set up again") {
   RouterFixture fixture;
   fixture.announce_server();
   fixture.send_set_up(kCallA);
-  auto& silent = fixture.wait_for_invite(kCallA);
+  auto& unresponsive = fixture.wait_for_invite(kCallA);
   const Instant sent = Loop::now();
   fixture.run_until([&] { return Loop::now() - sent > milliseconds{80}; });
   fixture.send_set_up(kCallB);
   auto& other = fixture.wait_for_invite(kCallB);
-  REQUIRE(&other != &silent);  // the connection with the fewest set-ups in progress
+  REQUIRE(&other != &unresponsive);  // the connection with the fewest set-ups in progress
   fixture.answer(other, kCallB);
-  fixture.run_until([&] { return silent.closed; });
+  fixture.run_until([&] { return unresponsive.closed; });
   CHECK(fixture.router->counters().stalled_connections == 1);
   CHECK_FALSE(other.closed);
   fixture.run_until([&] {
@@ -135,28 +136,28 @@
   CHECK(Loop::now() - sent >= milliseconds{500});
 }
 
-// Guards against callers that are never told that their call has ended: the server's release was lost with
-// the closed connection, and the server repeats it only on the next new connection, not on those already
-// open (PROTOCOL).
+// Guards against callers that are never notified that their call has ended: the server's release was lost
+// with the closed connection, and the server repeats it only on the next new connection, not on those already
+// open (the operators' page PROTOCOL).
 TEST_CASE("while calls are established, a stalled connection is replaced although others are open") {
   RouterFixture fixture;
   fixture.announce_server();
   fixture.send_set_up(kCallA);
-  auto& silent = fixture.wait_for_invite(kCallA);
+  auto& unresponsive = fixture.wait_for_invite(kCallA);
   const Instant sent = Loop::now();
   fixture.send_set_up(kCallB);
   fixture.send_set_up(kCallC);  // with set-ups in progress on both connections a third is opened
   auto& other = fixture.wait_for_invite(kCallB);
-  REQUIRE(&other != &silent);
+  REQUIRE(&other != &unresponsive);
   fixture.run_until([&] { return fixture.server.connections.size() == 3; });
   fixture.answer(other, kCallB);  // this call is established
-  if (auto& third = fixture.wait_for_invite(kCallC); &third != &silent) fixture.answer(third, kCallC);
+  if (auto& third = fixture.wait_for_invite(kCallC); &third != &unresponsive) fixture.answer(third, kCallC);
   fixture.run_until([&] { return Loop::now() - sent > milliseconds{80}; });
   fixture.send_set_up(kCallD);
   auto& later = fixture.wait_for_invite(kCallD);
-  REQUIRE(&later != &silent);
+  REQUIRE(&later != &unresponsive);
   fixture.answer(later, kCallD);
-  fixture.run_until([&] { return silent.closed; });
+  fixture.run_until([&] { return unresponsive.closed; });
   CHECK(fixture.router->counters().stalled_connections == 1);
   fixture.run_until([&] { return fixture.server.connections.size() == 4; });
   CHECK(Loop::now() - sent < milliseconds{450});  // the new connection was not opened for a repeated set-up
@@ -170,9 +171,9 @@
   RouterFixture fixture;
   fixture.announce_server();
   fixture.send_set_up(kCallA);
-  auto& silent = fixture.wait_for_invite(kCallA);
+  auto& unresponsive = fixture.wait_for_invite(kCallA);
   fixture.send_from_caller("{\"msg\":\"close\",\"sid\":\"" + kCallA + "\",\"attrs\":{},\"code\":16}\n");
-  fixture.run_until([&] { return silent.has_received("CANCEL sip:"); });
+  fixture.run_until([&] { return unresponsive.has_received("CANCEL sip:"); });
   // The other connections answer at shorter intervals than the stall time-out, until the stalled one is
   // closed.
   int created = 0;
@@ -183,9 +184,9 @@
       fixture.send_set_up(last_call);
       fixture.answer(fixture.wait_for_invite(last_call), last_call);
     }
-    return silent.closed;
+    return unresponsive.closed;
   });
-  CHECK(silent.count(" INVITE\r\n") == 1);
+  CHECK(unresponsive.count(" INVITE\r\n") == 1);
   CHECK(fixture.router->counters().stalled_connections == 1);
   CHECK(created > 1);
 }
--- a/tests/fleet_relay_test.cpp
+++ b/tests/fleet_relay_test.cpp
@@ -281,15 +281,15 @@
     fixture.run_until([&] { return connection.client_end == asio::error::connection_reset; });
     fixture.run_until([&] { return connection.server_end == asio::error::connection_reset; });
   }
-  SUBCASE("writes after the end are refused") {
+  SUBCASE("writes after the end fail") {
     connection.relay.set_schedule(one_fault(LinkFaultKind::kFinish, seconds{60}), "n0", "s0");
     fixture.run_until([&] { return connection.client_end == asio::error::eof; });
     fixture.run_until([&] { return connection.server_end == asio::error::eof; });
     asio::write(connection.client, asio::buffer("after", 5));
     fixture.run_until([&] {
-      asio::error_code refused;
-      connection.client.write_some(asio::buffer("after", 5), refused);
-      return bool(refused);
+      asio::error_code write_error;
+      connection.client.write_some(asio::buffer("after", 5), write_error);
+      return bool(write_error);
     });
   }
   CHECK_FALSE(process.exit_status());  // it has run all the time
@@ -359,7 +359,7 @@
   options.routers = 3;
   options.calls_per_s = 80;
   // Some set-ups are in progress at nearly every time, so that a process that continues to accept calls never
-  // ends. No answer is so late that the router considers a link stuck.
+  // ends. No answer is so late that the router considers a link stalled.
   options.traits.mean_answer_time = milliseconds{50};
   options.schedule.length = seconds{11};
   for (const auto time : {milliseconds{500}, milliseconds{4700}}) {
@@ -376,7 +376,7 @@
   }));
 }
 
-// The history says that a server drains, but the router was not told so on its command channel. It continues
+// The history says that a server drains, but the router's command channel did not report this. It continues
 // to send set-ups to the server, which breaks a rule.
 TEST_CASE("a fleet that breaks a rule is detected from its history") {
   const TemporaryFolder folder;
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -328,7 +328,7 @@
     }
     fixture.router->shut_down([] {});
     next.reset();
-    const auto bye =
+    const auto release =
         RouterFixture::sip_message("BYE sip:x@net SIP/2.0", kCallA, "2 BYE", "Reason: Q.850;cause=16\r\n");
     if (dies_before_sigterm) {
       // The old process keeps serving: it accepts a new connection and delivers the release of its call.
@@ -336,12 +336,12 @@
       late_caller->stream->send("{\"msg\":\"probe\",\"sid\":\"" + kCallB + "\",\"attrs\":{},\"code\":0}\n");
       fixture.run_until([&] { return late_caller->has_received("\"probed\""); });
       CHECK_FALSE(fixture.caller->closed);
-      server.stream->send(bye);
+      server.stream->send(release);
       fixture.run_until([&] { return fixture.caller->has_received("\"close\",\"sid\":\"" + kCallA); });
       continue;
     }
     fixture.run_until([&] { return fixture.caller->closed; });
-    server.stream->send(bye);
+    server.stream->send(release);
     fixture.run_until([&] {
       return folder.file_count() == 2;
     });  // the instance record and the stored release of the old process
--- a/tests/iso8583_test.cpp
+++ b/tests/iso8583_test.cpp
@@ -96,8 +96,8 @@
   }
   // The elements before the fault are kept, so that the answer can name the request.
   Message message;
-  const std::string cut = "0200" + bytes_from_hex("0020000000800000") + "000123" + "TERM";
-  REQUIRE(read(cut, message));
+  const std::string truncated = "0200" + bytes_from_hex("0020000000800000") + "000123" + "TERM";
+  REQUIRE(read(truncated, message));
   CHECK(message.text(11) == "000123");
 }
 
--- a/tests/net_parse_test.cpp
+++ b/tests/net_parse_test.cpp
@@ -200,13 +200,13 @@
 
 TEST_CASE("server-sent events are parsed at every split and with every line end") {
   const std::string text = ": hi\r\n\r\nid: 4\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\nid:5\ndata:x\n\n";
-  for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-    CAPTURE(cut);
+  for (std::size_t split_at = 0; split_at <= text.size(); ++split_at) {
+    CAPTURE(split_at);
     SseParser reader;
     std::vector<SseEvent> events;
     const auto keep = [&](const SseEvent& event) { events.push_back(event); };
-    CHECK(reader.feed(text.substr(0, cut), keep));
-    CHECK(reader.feed(text.substr(cut), keep));
+    CHECK(reader.feed(text.substr(0, split_at), keep));
+    CHECK(reader.feed(text.substr(split_at), keep));
     REQUIRE(events.size() == 2);
     CHECK(events[0].id == "4");
     CHECK(events[0].data == "{\"a\":\n1}");
--- a/tests/net_rules_test.cpp
+++ b/tests/net_rules_test.cpp
@@ -167,12 +167,12 @@
 TEST_CASE("a message queued on a blocked socket can be withdrawn, a partly written one cannot") {
   RouterFixture fixture;
   StandInListener listener(fixture.loop);
-  asio::ip::tcp::socket silent_peer(fixture.loop.io);
-  silent_peer.connect(listener.acceptor.local_endpoint());
+  asio::ip::tcp::socket unresponsive_peer(fixture.loop.io);
+  unresponsive_peer.connect(listener.acceptor.local_endpoint());
   fixture.run_until([&] { return !listener.connections.empty(); });
   auto& stream = *listener.connections[0]->stream;
-  // Nothing reads from `silent_peer`: when the kernel buffers are full, one message is partly written and the
-  // next one waits.
+  // Nothing reads from `unresponsive_peer`: when the kernel buffers are full, one message is partly written
+  // and the next one waits.
   net::TcpConnection::Tag tag = 0;
   bool was_withdrawn = false;
   while (!was_withdrawn && tag < 1000) {
--- a/tests/session_api_test.cpp
+++ b/tests/session_api_test.cpp
@@ -88,7 +88,7 @@
     set_up.peer->respond(set_up.stream, 201, {{"content-type", "application/json"}},
                          R"({"id":")" + sid + R"(","description":")" + description + "\"" + region + "}");
   }
-  static void refuse(SetUp& set_up, int status, const std::string& type,
+  static void reject(SetUp& set_up, int status, const std::string& type,
                      const std::string& retry_after = "") {
     Http2Server::Headers headers = {{"content-type", "application/problem+json"}};
     if (!retry_after.empty()) headers.emplace_back("retry-after", retry_after);
@@ -223,7 +223,7 @@
   SessionApiFixture fixture;
   SessionServer version_2_server(fixture.loop), other_version_2_server(fixture.loop);
   version_2_server.on_set_up = other_version_2_server.on_set_up = [](SessionServer::SetUp& set_up) {
-    SessionServer::refuse(set_up, 422, "value");
+    SessionServer::reject(set_up, 422, "value");
   };
   fixture.list_and_wait(version_2_server, "h2");
   fixture.list_and_wait(other_version_2_server, "h3");
@@ -261,7 +261,7 @@
     SessionApiFixture fixture;
     SessionServer server(fixture.loop);
     server.on_set_up = [&](SessionServer::SetUp& set_up) {
-      SessionServer::refuse(set_up, test_case.status, test_case.type, test_case.retry_after);
+      SessionServer::reject(set_up, test_case.status, test_case.type, test_case.retry_after);
     };
     fixture.list_and_wait(server, "h1");
     fixture.open_call(kSessionA, "acme");
@@ -284,10 +284,10 @@
   fixture.list_and_wait(server, "h1");
   fixture.open_call(kSessionA, "acme");
   auto& first = fixture.wait_for_set_up(server);
-  const Instant refused_at = Loop::now();
+  const Instant rejected_at = Loop::now();
   first.peer->reset_stream(first.stream, NGHTTP2_REFUSED_STREAM);
   fixture.wait_for_set_up(server, 2);
-  CHECK(Loop::now() - refused_at < milliseconds{400});
+  CHECK(Loop::now() - rejected_at < milliseconds{400});
   auto& second = server.set_ups[1];
   const Instant reset_at = Loop::now();
   second.peer->reset_stream(second.stream, NGHTTP2_INTERNAL_ERROR);
@@ -431,7 +431,7 @@
   server.versions = R"({"versions":[2],"process":"p1"})";
   server.on_set_up = [](SessionServer::SetUp& set_up) {
     if (set_up.version == "1") {
-      SessionServer::refuse(set_up, 505, "version-not-taken");
+      SessionServer::reject(set_up, 505, "version-not-taken");
     } else {
       SessionServer::answer(set_up, kSessionA);
     }
--- a/tests/versions_guard_test.cpp
+++ b/tests/versions_guard_test.cpp
@@ -27,8 +27,8 @@
   return scenario.handle(new_call);
 }
 
-AttemptEnded refused_attempt(std::uint32_t id, std::uint32_t server, std::uint32_t attempt,
-                             ProtocolVersionSet excludes_versions) {
+AttemptEnded rejected_attempt(std::uint32_t id, std::uint32_t server, std::uint32_t attempt,
+                              ProtocolVersionSet excludes_versions) {
   AttemptEnded ended;
   ended.call = CallId{id};
   ended.server = ServerId{server};
@@ -72,19 +72,19 @@
   EXPECT_EQ(count_negative_answers(start_call(scenario, 1, 1, version_bit(0))), 0U);
 }
 
-TEST(Versions, ARefusalForTheVersionExcludesItsServersForThisCallOnly) {
+TEST(Versions, ARejectionForTheVersionExcludesItsServersForThisCallOnly) {
   Scenario scenario;
   scenario.update_endpoints(
       {endpoint_with_version(1, 0), endpoint_with_version(2, 0), endpoint_with_version(3, 1)});
   EXPECT_EQ(count_forwards_to(start_call(scenario, 1, 1, 0), 1), 1U);
   scenario.at(10ms);
-  const auto next = scenario.handle(refused_attempt(1, 1, 0, version_bit(0)));
+  const auto next = scenario.handle(rejected_attempt(1, 1, 0, version_bit(0)));
   EXPECT_EQ(count_forwards_to(next, 3), 1U);  // not server 2, which has the same version
   // Server 1 still gets calls that its version supports.
   scenario.at(20ms);
   EXPECT_EQ(count_forwards_to(scenario.start_call(2, 1), 1), 1U);
   // The last version refuses the call too: it is answered at once, without another attempt.
-  const auto last = scenario.handle(refused_attempt(1, 3, 1, version_bit(1)));
+  const auto last = scenario.handle(rejected_attempt(1, 3, 1, version_bit(1)));
   EXPECT_EQ(count_negative_answers(last), 1U);
   EXPECT_TRUE(actions_of<ForwardCall>(last).empty());
 }
@@ -95,7 +95,7 @@
   for (std::uint32_t id = 0; id < 20; ++id) {
     scenario.at(10ms * id);
     ASSERT_EQ(count_forwards_to(start_call(scenario, id, 1, 0), 1), 1U) << id;
-    auto ended = refused_attempt(id, 1, 0, kAllVersions);
+    auto ended = rejected_attempt(id, 1, 0, kAllVersions);
     ended.outcome = Outcome::kError;
     EXPECT_EQ(count_negative_answers(scenario.handle(ended)), 1U);
   }
@@ -166,7 +166,7 @@
         } else {
           calls[other].excluded_versions |= version_bit(versions[server]);
           check_actions(
-              scenario.handle(refused_attempt(other, server, attempt, calls[other].excluded_versions)));
+              scenario.handle(rejected_attempt(other, server, attempt, calls[other].excluded_versions)));
         }
       }
     }
@@ -174,7 +174,7 @@
       while (calls[id].current_server >= 0) {
         const auto server = static_cast<std::uint32_t>(calls[id].current_server);
         calls[id].current_server = -1;
-        check_actions(scenario.handle(refused_attempt(id, server, calls[id].attempts - 1, kAllVersions)));
+        check_actions(scenario.handle(rejected_attempt(id, server, calls[id].attempts - 1, kAllVersions)));
       }
     }
     check_actions(scenario.run_timer_until(5s));
