--- a/src/tool/commands.cpp
+++ b/src/tool/commands.cpp
@@ -165,7 +165,7 @@
         out << (client == 0 ? " " : ", ") << dialect.name << " " << reason_code.code;
       }
       out << (core::info_of(error.meaning.reason).final_answer == core::FinalAnswerKind::kRejected
-                  ? " (rejected)"
+                  ? " (refused)"
                   : " (failed)")
           << "\n";
     }
