--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -158,7 +158,7 @@
   CHECK(std::get<StorageError>(in_missing_folder).message.find("No such file") != std::string::npos);
 }
 
-TEST_CASE("stored releases are loaded once and in order; invalid files are removed and counted") {
+TEST_CASE("stored releases are loaded once and in order, and invalid files are removed and counted") {
   const TemporaryFolder folder;
   const InstanceRecord self{"n1", "127.0.0.1:5070", 1};
   CHECK(hot_restart::load_releases(folder.path, self).releases.empty());
--- a/tests/reload_plan_test.cpp
+++ b/tests/reload_plan_test.cpp
@@ -160,7 +160,8 @@
 }
 
 TEST_CASE(
-    "a reload adds and removes classes and lowers the attempt limit; calls in progress keep their class") {
+    "a reload adds and removes classes and lowers the attempt limit, and calls in progress keep their "
+    "class") {
   RouterFixture fixture;
   fixture.announce_server();
   fixture.send_set_up(kSessionId);
