--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -88,7 +88,7 @@
   const auto parsed = parse_command(line);
   if (const auto* command = std::get_if<Command>(&parsed)) return handler_(*command);
   const auto& error = std::get<CommandError>(parsed);
-  net::log::warn(rejected_command_log_, "admin: rejected command line: ", error.message, " from ",
+  net::log::warn(rejected_command_log_, "admin: rejected command line (", error.message, ") from ",
                  stream.remote());
   return "-ERR " + error.message;
 }
--- a/src/admin/metrics.hpp
+++ b/src/admin/metrics.hpp
@@ -9,7 +9,7 @@
 
 namespace amberknot::admin {
 
-/// Current values. The counters, by contrast, only grow.
+/// Current values, which can fall as well as rise.
 struct Gauges {
   std::uint64_t open_requests = 0;     ///< calls that have not ended, including established ones
   std::uint64_t registry_entries = 0;  ///< servers in the endpoint list
--- a/src/app/endpoint_updates.cpp
+++ b/src/app/endpoint_updates.cpp
@@ -92,7 +92,8 @@
   if (!is_known) assign_pool(server);
   const bool is_started = change.started_unix_ms > server.started_unix_ms;
   if (is_started) {
-    // Converted only once for each start: the decision module takes a different time as another restart.
+    // Converted only once for each start: a second conversion could give a slightly different time, which the
+    // decision module would treat as another restart.
     server.started_unix_ms = change.started_unix_ms;
     server.started = start_instant(change.started_unix_ms);
   }
--- a/src/app/kinds.hpp
+++ b/src/app/kinds.hpp
@@ -1,5 +1,5 @@
-// The tables of frontends and upstream pools. A new protocol is added to them; the router itself names no
-// protocol.
+// The tables of frontends and upstream pools. A new protocol is added to them; the router creates frontends
+// and pools only through them.
 #pragma once
 
 #include <functional>
@@ -63,7 +63,7 @@
 
 /// The first row is the frontend that every platform has: JSON lines.
 std::span<const FrontendKind> frontend_kinds();
-/// The first row whose protocol a server has provides its pool.
+/// A server is assigned to the pool of the first row whose `is_protocol_of` accepts it.
 std::span<const UpstreamPoolKind> upstream_pool_kinds();
 
 /// Returns the translator that the operator file requires, or null if nothing is translated. Throws
--- a/src/app/operator_file.cpp
+++ b/src/app/operator_file.cpp
@@ -55,7 +55,7 @@
     const auto ms = settings::parse_number(settings::string_value(*value));
     constexpr double kMaxMs = 86'400'000;
     if (!ms || *ms < static_cast<double>(min.count()) || *ms > kMaxMs)
-      throw_field_error(field(name), "is not a time in ms within the allowed range");
+      throw_field_error(field(name), "is not a time in ms between the minimum of this field and 86400000");
     return milliseconds{static_cast<std::int64_t>(*ms)};
   }
 
--- a/src/app/router.cpp
+++ b/src/app/router.cpp
@@ -306,7 +306,8 @@
 }
 
 // A process that exits with unread input resets its connections, and a caller may see the reset before the
-// last answer. Therefore callers close their connections first, or the time limit passes.
+// last answer. Therefore the process exits only when all callers have closed their connections, or at the
+// deadline.
 void Router::exit_when_closed(Instant deadline) {
   const bool all_closed = std::all_of(frontends_.begin(), frontends_.end(), [](const auto& frontend) {
     return !frontend || frontend->is_closed();
--- a/src/app/router.hpp
+++ b/src/app/router.hpp
@@ -33,11 +33,12 @@
   /// operator file is invalid and `std::system_error` if an address cannot be used.
   Router(net::Loop& loop, const Config& config, const OperatorFile& operator_file = {});
 
-  /// Serves until every accepted call is answered, then releases established calls and calls `done`. Further
-  /// calls of this function have no effect.
+  /// Starts a graceful shutdown and returns. Once every accepted call is answered, and the established calls
+  /// have ended or the shutdown's `exit_by` has passed, releases the remaining calls and invokes `done`.
+  /// Invoking this function again has no effect.
   void shut_down(std::function<void()> done);
-  /// Records in `folder`, which successive processes of a router share, that this process serves, so that a
-  /// replacement is detected. Delivers the releases that a replaced process has stored there.
+  /// Writes this process's instance record to `folder`, which successive processes of a router share, so that
+  /// a replacement is detected. Delivers the releases that a replaced process has stored there.
   void join_hot_restart(const std::string& folder);
   /// Applies a new configuration, which has been read and checked. A change that requires a restart is logged
   /// and not applied.
--- a/src/core/call.hpp
+++ b/src/core/call.hpp
@@ -21,7 +21,9 @@
   std::string call_class;
   std::string number;
   std::string description;
-  CallRequest request;  ///< `expires` is when the caller stops waiting
+  /// `expires` is when the caller stops waiting. CallTable::add_call() makes it earlier by the margin for the
+  /// final answer, and a shutdown may make it earlier still.
+  CallRequest request;
   /// The parsed request, for upstream pools that need more than the fields above; null if there is none.
   std::unique_ptr<const ProtocolMessage> message = {};
 };
@@ -41,15 +43,16 @@
 ///
 /// | from | event | to |
 /// | --- | --- | --- |
-/// | (new) | `CallTable::admit` | queued |
+/// | (new) | `CallTable::add_call` | queued |
 /// | queued | the decision module forwards it | in flight |
 /// | queued | rejected, failed, abandoned by its caller, or expired | (over) |
 /// | in flight | the server accepts the call (200 or equivalent) | established |
 /// | in flight | the attempt ends: error, overload, timeout, reset, cancelled or never sent | queued |
 /// | in flight | abandoned by its caller | (over) |
-/// | established | released by the caller | (over) |
+/// | established | released by the caller or by the exit of the process | (over) |
+/// | established | failed, because the caller's protocol cannot carry the answer | (over) |
 /// | established | released by the server, or its server is lost | releasing |
-/// | releasing | the caller has been sent its release | (over) |
+/// | releasing | the release has been sent to the caller | (over) |
 enum class CallState : std::uint8_t { kQueued, kInFlight, kEstablished, kReleasing };
 
 /// Returns whether the table above contains a transition from `from` to `to`.
--- a/src/core/call_table.cpp
+++ b/src/core/call_table.cpp
@@ -83,9 +83,10 @@
                                        {.outcome = Outcome::kOk, .elapsed = elapsed, .call_ended = true}));
 }
 
-// SIGKILL may arrive before the deadlines of these calls. Without an earlier deadline here, their callers
-// would never be answered. The module keeps the original deadlines, because only this process's time is
-// limited.
+// An unanswered call that expires after `plan.answer_by` gets that time as its deadline, less the margin for
+// the final answer: SIGKILL may arrive before the original deadline, and its caller would then never be
+// answered. The decision module is not told of the earlier deadline: the call itself has not changed, only
+// the lifetime of this process is limited.
 void CallTable::begin_shutdown(const GracefulShutdown& plan) {
   shutdown_ = plan;
   const Instant latest_expiry = plan.answer_by - kAnswerMargin;
@@ -222,7 +223,8 @@
   }
 }
 
-// During a shutdown a call's deadline here is earlier than the one that the module knows.
+// During a shutdown the deadline of a call in this table may be earlier than the one that the decision module
+// knows, so the module may still forward an expired call.
 void CallTable::forward_unless_expired(const Decision& decision) {
   if (clock_() < calls_.at(decision.call).set_up.request.expires) {
     forward(decision);
--- a/src/core/call_table.hpp
+++ b/src/core/call_table.hpp
@@ -63,7 +63,8 @@
   void abort_calls_at(ServerId server, const char* why) {
     abort_calls_sent_before(server, Instant::max(), why);
   }
-  /// Ends those established calls at such a server that were forwarded before `cutoff`; `why` is logged.
+  /// Ends the established calls at a server that were forwarded before `cutoff`, because the process that had
+  /// them has died; `why` is logged.
   void abort_calls_sent_before(ServerId server, Instant cutoff, const char* why);
 
   // Events from service discovery and peers.
@@ -100,12 +101,13 @@
   /// server never executed it, so that no pause is needed before the next attempt. Otherwise returns
   /// `outcome_if_sent`.
   Outcome cancel_attempt(const AttemptId& attempt, Outcome outcome_if_sent);
-  /// Sends the only final answer of a queued call; `reason` and `retry_after` as in final_answer().
+  /// Sends the final answer of a queued call to its caller and deletes the call; `reason` and `retry_after`
+  /// as in final_answer().
   void send_final_answer(CallId id, Reason reason, Duration retry_after);
   /// Rejects a queued call whose deadline has passed and tells the module to drop it.
   void reject_expired(CallId id);
-  /// Returns the retry delay for callers that are rejected during a shutdown: the time until this process
-  /// exits.
+  /// Returns the retry delay for callers whose calls expire: during a shutdown the time until this process
+  /// exits, up to `max_retry_after`; zero without a shutdown or if the settings allow no retry advice.
   [[nodiscard]] Duration shutdown_retry_after() const;
   void forget(CallId id);
 
@@ -118,7 +120,8 @@
   /// Applies a transition of core/call.hpp.
   void change_state(Call& call, CallState next_state);
   [[nodiscard]] Call* find(CallId id);
-  /// Returns the call of which that attempt is in flight or established, or null if the attempt is over.
+  /// Returns the call whose latest attempt this is, if it is in flight or established; null if the attempt is
+  /// over.
   [[nodiscard]] Call* find(const AttemptId& attempt);
   [[nodiscard]] ServerPort* server_port(ServerId server);
   [[nodiscard]] AttemptId latest_attempt(CallId id, const Call& call) const {
--- a/src/core/counters.hpp
+++ b/src/core/counters.hpp
@@ -17,7 +17,7 @@
   std::uint64_t fulfilled = 0;  ///< calls established
   std::uint64_t throttled = 0;  ///< calls rejected: a retry is safe
   std::uint64_t faulted = 0;    ///< calls failed
-  std::uint64_t relayed = 0;    ///< attempts written to a server, without those withdrawn before the write
+  std::uint64_t relayed = 0;    ///< attempts forwarded, except those that ended as `kNotSent`
 };
 
 inline constexpr std::size_t kOutcomeCount = 8;  ///< number of enumerators of Outcome
@@ -31,7 +31,9 @@
   std::uint64_t abandoned = 0;
   /// Abandoned set-ups without an attempt in flight, for which nothing is sent to a server.
   std::uint64_t abandoned_while_queued = 0;
-  /// Set-ups with a readable id and an invalid field.
+  /// Over JSON lines: set-ups with a readable id and an invalid field. Over Diameter: invalid messages from
+  /// any peer, and set-ups that the frontend refuses for an invalid field, an unknown tenant or too many
+  /// sessions.
   std::uint64_t malformed_set_ups = 0;
   /// Lines or message headers that could not be parsed, so that their connection was closed.
   std::uint64_t unreadable_messages = 0;
@@ -43,9 +45,10 @@
   std::uint64_t evicted_connections = 0;
   /// Connections closed because they sent no valid message in time.
   std::uint64_t idle_connections_closed = 0;
-  /// Messages that refer to an unknown call.
+  /// Messages that refer to an unknown call, and repeated Diameter initial requests for a known session.
   std::uint64_t unknown_ids = 0;
-  /// Endpoint list changes applied.
+  /// Updates with a new number from the command channel or a configuration, including those that change no
+  /// entry of the endpoint list.
   std::uint64_t endpoint_events = 0;
   /// Reconnections of the endpoint watcher.
   std::uint64_t endpoint_watch_restarts = 0;
@@ -54,7 +57,7 @@
   std::uint64_t directory_failures = 0;
   /// New configurations applied.
   std::uint64_t reloads = 0;
-  /// New configurations that could not be read.
+  /// New configurations that could not be read or are invalid.
   std::uint64_t reloads_failed = 0;
 
   // ---- sent ---------------------------------------------------------------------------------------------
@@ -98,8 +101,8 @@
     if (index >= by_class.size()) by_class.resize(index + 1);
     return by_class[index];
   }
-  /// Counts an attempt that ended before its call was established. One withdrawn before its first byte was
-  /// written never reached a server and does not count as relayed.
+  /// Counts an attempt that ended before its call was established. One that ended as `kNotSent` does not
+  /// count as relayed: it was withdrawn before its first byte was written, or no server executed it.
   void count_attempt_end(Outcome outcome, std::size_t call_class) {
     ++attempt_ends[static_cast<std::size_t>(outcome)];
     auto& relayed = of_class(call_class).relayed;
--- a/src/core/dispatcher.cpp
+++ b/src/core/dispatcher.cpp
@@ -43,7 +43,7 @@
     decision.bytes = std::move(action.bytes);
   }
   void operator()(LogMessage& action) const { decision.text = std::move(action.text); }
-  // A router on sockets is always sent updates of the endpoint list, so it has nothing to subscribe to.
+  // The command channel sends every update of the endpoint list unasked, so there is nothing to subscribe to.
   void operator()(WatchEndpoints& /*action*/) const {
     decision.text = "asked to watch the endpoint list; no action needed, updates are pushed";
   }
--- a/src/core/dispatcher.hpp
+++ b/src/core/dispatcher.hpp
@@ -20,7 +20,8 @@
   CallId call{};
   ServerId server{};
   std::uint32_t attempt = 0;
-  /// kForward: timeout of the attempt, zero for the caller's deadline. kReject: Retry-After.
+  /// kForward: timeout of the attempt; zero means that only the caller's deadline limits it. kReject:
+  /// Retry-After.
   Duration time{};
   std::vector<std::uint8_t> bytes;  ///< kBroadcast: message to all peers
   std::string text;                 ///< kLog: log line
@@ -33,9 +34,9 @@
   Instant expires{};                     ///< when the caller stops waiting
   std::optional<PoolId> preferred_pool;  ///< preferred pool; empty if the caller named none
   double width = 1;                      ///< number of lines that the call occupies
-  std::size_t call_class = 0;
-  std::size_t tenant = 0;
-  bool was_aborted = false;  ///< the caller repeats a call that was aborted
+  std::size_t call_class = 0;            ///< index of the class in the settings
+  std::size_t tenant = 0;                ///< index of the tenant in the settings
+  bool was_aborted = false;              ///< the caller repeats a call that was aborted
   ProtocolVersionSet excluded_versions = 0;
 };
 
--- a/src/core/graceful_shutdown.cpp
+++ b/src/core/graceful_shutdown.cpp
@@ -8,19 +8,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// After SIGTERM, new connections arrive for at most 0.4 s and set-ups for 0.2 s more (PROTOCOL, planned
-// restart). SIGKILL follows 0.7 s plus the longest deadline after SIGTERM; that deadline is capped at the
-// maximum that PROTOCOL states for a plain restart, or DAYS for a process that another one has replaced.
+// After SIGTERM, new connections arrive for at most 0.4 s and set-ups for 0.2 s more (the operators' page
+// PROTOCOL, planned restart); callers are accepted for 0.7 s. SIGKILL comes no earlier than 0.7 s plus the
+// longest deadline after SIGTERM. That deadline is capped at the maximum that the page PROTOCOL states for a
+// plain restart, or the page DAYS for a process that another one has replaced.
 constexpr Duration kArrivalPeriod = milliseconds{700};
 constexpr Duration kMaxDeadlineInPlainRestart = seconds{3};
 constexpr Duration kMaxDeadlineWhenReplaced = seconds{5};
-// Lead times before the earliest possible SIGKILL. First, all remaining calls are answered. Then even
-// connections with continuous calls can be closed: this takes up to 50 ms, and a message that crosses the
-// close is sent again for 50 ms after it. Last, the process releases the established calls.
+// Lead times before the earliest possible SIGKILL. At kAnswerLeadTime before it, all remaining calls have
+// been answered. Then connections with continuous calls can be closed too: this takes up to 50 ms, and a
+// message that crosses the close is sent again for 50 ms after it. At kExitLeadTime before it, the process
+// releases the established calls.
 constexpr Duration kAnswerLeadTime = milliseconds{250};
 constexpr Duration kExitLeadTime = milliseconds{50};
-// A message that crosses a close is sent again for 50 ms after it (PROTOCOL). A caller that has not noticed
-// the close by then never will.
+// The longest wait for callers to close their connections before the exit. A message that crosses a close is
+// sent again for 50 ms after it (the operators' page PROTOCOL). A caller that has not noticed the close by
+// then never will.
 constexpr Duration kCloseTimeout = milliseconds{50};
 
 }  // namespace
--- a/src/core/graceful_shutdown.hpp
+++ b/src/core/graceful_shutdown.hpp
@@ -1,5 +1,6 @@
-// Graceful shutdown after SIGTERM: how long the process waits for what, and whether another process has
-// replaced it. Does no I/O: records read from disk and the time are passed in.
+// Graceful shutdown after SIGTERM: the deadlines for accepting callers, answering calls and exiting, and
+// whether another process has replaced this one. Does no I/O: records read from disk and the time are passed
+// in.
 #pragma once
 
 #include <cstdint>
--- a/src/core/load_report.hpp
+++ b/src/core/load_report.hpp
@@ -7,7 +7,7 @@
 
 namespace amberknot::core {
 
-/// Sets the field with that name of the settings. Ignores unknown names, and values that are negative (not
+/// Sets the field that the settings call `name`. Ignores unknown names, and values that are negative (not
 /// reported) or not finite.
 void set_load_report_field(LoadReport& report, std::string_view name, double value);
 
--- a/src/core/names.hpp
+++ b/src/core/names.hpp
@@ -1,5 +1,5 @@
-// The names of classes of call and of tenants from the settings, which every frontend looks up here, and the
-// check of called numbers.
+// Names of call classes and tenants in the settings, and validation of called numbers. Used by every
+// frontend.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +10,13 @@
 
 namespace amberknot::core {
 
-/// The names of the settings as set-ups carry them, and the most lines that a call of each class occupies.
+/// Names of classes and tenants as set-ups carry them, and the maximum number of lines that a call of each
+/// class occupies.
 struct ConfiguredNames {
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
-  std::vector<double> max_widths = {};  ///< most lines of a call, by class; empty if the settings give none
+  /// Maximum number of lines of a call, by class; empty if the settings give none.
+  std::vector<double> max_widths = {};
   /// By class: whether a reload has removed it. A removed class keeps its index, so that calls in progress
   /// keep their class, but new calls cannot use it.
   std::vector<bool> retired = {};
--- a/src/core/placement.hpp
+++ b/src/core/placement.hpp
@@ -9,8 +9,9 @@
 
 namespace amberknot::core {
 
-/// The version of a server that has not yet reported which it supports. Only a call that has already ended
-/// excludes it.
+/// The version of a server that has not yet reported which it supports. A call excludes it only together
+/// with all other versions, when it must get its final answer at once; for every other call such a server
+/// stays eligible.
 inline constexpr ProtocolVersion kUnknownVersion{31};
 
 /// Returns the set that contains only that version.
@@ -19,9 +20,10 @@
 }
 
 /// The attempts of one call: the protocol versions excluded so far, and the reason that its caller is given
-/// in the end. The last error about the call takes precedence over errors about a protocol version or a
-/// server, and these take precedence over lack of capacity, because "the tenant is suspended" tells the
-/// caller more than "all servers are full".
+/// in the end. The last error about the call takes precedence, then the last one about a protocol version,
+/// then the last one about a server if it leads to the same kind of final answer as the decision module's
+/// reason, then the module's reason: "the tenant is suspended" tells the caller more than "all servers are
+/// full".
 class AttemptHistory {
  public:
   AttemptHistory() = default;
--- a/src/core/ports.hpp
+++ b/src/core/ports.hpp
@@ -80,7 +80,8 @@
   virtual bool cancel(const AttemptId& attempt) = 0;
   /// Releases an established call at its server.
   virtual void release(const AttemptId& attempt, Cause cause) = 0;
-  /// Drops the state of an attempt that has ended, without sending anything: the server knows or is lost.
+  /// Drops the state of an attempt that has ended, without sending anything, because the server has ended
+  /// it itself or is lost.
   virtual void forget_attempt(const AttemptId& attempt) = 0;
   /// Sends a health check to a server.
   virtual void check_health(ServerId server) = 0;
--- a/src/core/reason.cpp
+++ b/src/core/reason.cpp
@@ -45,8 +45,8 @@
   AttemptVerdict verdict;
   switch (meaning.scope) {
     case ErrorScope::kServer:
-      // The module pauses traffic to a server after kFull, which implies that the attempt was not executed.
-      // An attempt that may have been executed counts as an error of the server.
+      // kFull tells the decision module that the attempt was not executed, and makes it pause traffic to the
+      // server. An attempt that may have been executed is therefore reported as an error of the server.
       if (meaning.execution_state == ExecutionState::kMayHaveExecuted) {
         verdict.outcome = meaning.reason == Reason::kTimeout   ? Outcome::kTimeout
                           : meaning.reason == Reason::kAborted ? Outcome::kReset
--- a/src/core/reload_plan.hpp
+++ b/src/core/reload_plan.hpp
@@ -14,8 +14,8 @@
   ConfiguredNames names;           ///< existing classes at their old indices, new ones after them
   std::vector<CallClass> classes;  ///< settings of the classes, in the order of `names.classes`
   Limits limits;
-  std::vector<std::string>
-      changes;  ///< log text for each class added, removed or restored, and for changed limits
+  /// Log text for each class added, removed or restored, and for a changed maximum of attempts.
+  std::vector<std::string> changes;
   std::vector<std::string> requires_restart;  ///< changed settings that take effect only after a restart
 };
 
--- a/src/discovery/endpoint_watcher.cpp
+++ b/src/discovery/endpoint_watcher.cpp
@@ -65,7 +65,8 @@
   net::log::info("discovery: command channel moved from ", channel_, " to ", channel,
                  ", resuming after event ", last_event_id_);
   channel_ = channel;
-  // The old address stays open for a while but reports no more events: what it still sends is not read.
+  // The channel keeps its old address open for a while but sends no new events there, so the connection is
+  // closed without reading the rest.
   cancel_timers();
   if (stream_) stream_->close();
   connect();
--- a/src/discovery/endpoint_watcher.hpp
+++ b/src/discovery/endpoint_watcher.hpp
@@ -18,9 +18,9 @@
 namespace amberknot::discovery {
 
 /// Keeps a connection to the command channel open and resumes after the last known event, so that no event is
-/// lost or reported twice. If the connection is idle for 2.5 s, is closed or carries data that cannot be
-/// parsed, the fault is logged and a new connection is opened after 100 ms. Throws nothing. Used on the event
-/// loop's thread only.
+/// lost or reported twice. An event that cannot be parsed is requested again up to 3 times and then skipped.
+/// If the connection is idle for 2.5 s, is closed or carries data that cannot be parsed, the fault is logged
+/// and a new connection is opened after 100 ms. Throws nothing. Used on the event loop's thread only.
 class EndpointWatcher : public net::TcpConnection::EventHandler {
  public:
   /// Called on the event loop's thread with each new update, in the order of their numbers.
--- a/src/hot_restart/instance_lock.cpp
+++ b/src/hot_restart/instance_lock.cpp
@@ -83,8 +83,8 @@
   if (folder.empty()) return StorageError{StorageFault::kNoFolder, "TMPDIR is not set"};
   std::string path = folder + "/" + std::string(kFilePrefix) + "XXXXXX";
   Descriptor created(::mkostemp(path.data(), O_CLOEXEC));
-  // The file is locked before it is written: another process takes a written file without a lock for the file
-  // of a dead process and removes it.
+  // The file is locked before it is written: another process that finds a file with content but without a
+  // lock assumes that its process has ended, and removes it.
   if (created.get() < 0 || ::flock(created.get(), LOCK_EX) != 0 || !write_file(created, serialize(self))) {
     StorageError error{StorageFault::kWriteFailed, folder + ": " + std::strerror(errno)};
     if (created.get() >= 0) ::unlink(path.c_str());
@@ -118,7 +118,8 @@
     const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
     if (file.get() < 0) continue;
     if (!is_locked_by_another(file)) {
-      // The process of this file has ended. An empty file is about to be written and is kept.
+      // The process of an unlocked file has ended, unless the file is empty: then its process is about to
+      // lock and write it, and the file is kept.
       if (!read_file(file).empty()) ::unlink(path.c_str());
       continue;
     }
