--- a/src/core/endpoint_registry.cpp
+++ b/src/core/endpoint_registry.cpp
@@ -4,13 +4,13 @@
 
 namespace amberknot::core {
 
-Endpoint& EndpointRegistry::of(std::string_view name) {
-  if (const auto found = by_name_.find(name); found != by_name_.end()) return *find(found->second);
+Endpoint& EndpointRegistry::find_or_create(std::string_view name) {
+  if (const auto found = ids_by_name_.find(name); found != ids_by_name_.end()) return *find(found->second);
   const ServerId id{next_id_++};
   auto& server = servers_[id];
   server.id = id;
   server.name = name;
-  by_name_.emplace(server.name, id);
+  ids_by_name_.emplace(server.name, id);
   return server;
 }
 
@@ -25,14 +25,14 @@
 }
 
 const Endpoint* EndpointRegistry::find(std::string_view name) const {
-  const auto found = by_name_.find(name);
-  return found != by_name_.end() ? find(found->second) : nullptr;
+  const auto found = ids_by_name_.find(name);
+  return found != ids_by_name_.end() ? find(found->second) : nullptr;
 }
 
 ProtocolVersionSet EndpointRegistry::supported_versions() const {
   ProtocolVersionSet versions = 0;
   for (const auto& [id, server] : servers_) {
-    if (server.state != EndpointState::kRemoved) versions |= set_of(server.version);
+    if (server.state != EndpointState::kRemoved) versions |= version_set(server.version);
   }
   return versions;
 }
@@ -40,7 +40,7 @@
 void EndpointRegistry::forget(ServerId id) {
   const auto found = servers_.find(id);
   if (found == servers_.end()) return;
-  by_name_.erase(found->second.name);
+  ids_by_name_.erase(found->second.name);
   servers_.erase(found);
 }
 
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -4,34 +4,35 @@
 
 namespace amberknot::core {
 
-Verdict Placement::on_attempt_ended(ProtocolVersion version, const ErrorMeaning& meaning,
-                                    std::optional<Duration> retry_after) {
+AttemptVerdict AttemptHistory::on_attempt_ended(ProtocolVersion version, const ErrorClassification& meaning,
+                                                std::optional<Duration> retry_after) {
   const auto verdict = verdict_of(meaning);
-  switch (meaning.about) {
-    case About::kServer:
-      about_server_ = meaning.reason;
+  switch (meaning.scope) {
+    case ErrorScope::kServer:
+      server_error_ = meaning.reason;
       if (retry_after) retry_after_ = retry_after_ ? std::min(*retry_after_, *retry_after) : *retry_after;
       break;
-    case About::kVersion:
-      about_version_ = meaning.reason;
-      excluded_ |= set_of(version);
+    case ErrorScope::kVersion:
+      version_error_ = meaning.reason;
+      excluded_ |= version_set(version);
       break;
-    case About::kCall:
-      about_call_ = meaning.reason;
+    case ErrorScope::kCall:
+      call_error_ = meaning.reason;
       if (retry_after) retry_after_ = *retry_after;
       break;
   }
   return verdict;
 }
 
-Reason Placement::reason(Reason otherwise) const {
-  if (about_call_) return *about_call_;
-  if (about_version_) return *about_version_;
-  // The module's own word for a shortage stands, unless the last server said something that is no shortage.
-  if (about_server_ && facts_of(*about_server_).final_answer == facts_of(otherwise).final_answer) {
-    return *about_server_;
+Reason AttemptHistory::reason(Reason module_reason) const {
+  if (call_error_) return *call_error_;
+  if (version_error_) return *version_error_;
+  // The last server error is more specific than the module's reason, but applies only if it leads to the same
+  // kind of final answer.
+  if (server_error_ && info_of(*server_error_).final_answer == info_of(module_reason).final_answer) {
+    return *server_error_;
   }
-  return otherwise;
+  return module_reason;
 }
 
 }  // namespace amberknot::core
--- a/src/jsonl/codec.cpp
+++ b/src/jsonl/codec.cpp
@@ -21,42 +21,42 @@
 
 std::optional<JsonLine> JsonLineReader::read(std::span<char> line, char* end) {
   *end = '\0';
-  // A zero byte would end the text early and hide what follows.
+  // A zero byte would end the text early and hide the rest of the line.
   if (std::find(line.begin(), line.end(), '\0') != line.end()) return std::nullopt;
   auto& document = parser_->document;
   document = rapidjson::Document();
-  document.ParseInsitu<settings::kJsonFlags>(line.data());
+  document.ParseInsitu<settings::kJsonParseFlags>(line.data());
   if (document.HasParseError() || !document.IsObject()) return std::nullopt;
 
   JsonLine read;
-  const auto type = settings::text_in(document, "msg");
+  const auto type = settings::member_string(document, "msg");
   if (type.empty()) return std::nullopt;
   if (type == "open") read.type = JsonLine::Type::kOpen;
   if (type == "close") read.type = JsonLine::Type::kClose;
-  if (type == "probe") read.type = JsonLine::Type::kProbe;
-  read.sid = settings::text_in(document, "sid");
+  if (type == "probe") read.type = JsonLine::Type::kHealthCheck;
+  read.sid = settings::member_string(document, "sid");
   const bool needs_id = read.type == JsonLine::Type::kOpen || read.type == JsonLine::Type::kClose;
   if (needs_id && !is_call_id(read.sid)) return std::nullopt;
-  if (const auto* attrs = settings::member(document, "attrs")) {
-    read.call_class = settings::text_in(*attrs, "class");
-    read.left = settings::text_in(*attrs, "left");
-    read.tenant = settings::text_in(*attrs, "tenant");
-    read.key = settings::text_in(*attrs, "key");
-    read.extras = settings::text_in(*attrs, "extras");
+  if (const auto* attrs = settings::find_member(document, "attrs")) {
+    read.call_class = settings::member_string(*attrs, "class");
+    read.remaining_ms = settings::member_string(*attrs, "left");
+    read.tenant = settings::member_string(*attrs, "tenant");
+    read.number = settings::member_string(*attrs, "key");
+    read.extras = settings::member_string(*attrs, "extras");
   }
-  if (const auto* text = settings::member(document, "text")) {
-    // Half of a surrogate pair has no bytes in UTF-8; passed on it would spoil the other side's message.
-    read.has_text = text->IsString() && !settings::has_lone_surrogate(settings::text_of(*text));
-    read.text = settings::text_of(*text);
+  if (const auto* text = settings::find_member(document, "text")) {
+    // A lone surrogate cannot be encoded in UTF-8 and would make the message to the server malformed.
+    read.has_text = text->IsString() && !settings::has_lone_surrogate(settings::string_value(*text));
+    read.text = settings::string_value(*text);
   }
-  if (const auto code = settings::number_of(settings::text_in(document, "code"));
+  if (const auto code = settings::parse_number(settings::member_string(document, "code"));
       code && std::abs(*code) < 1e6) {
     read.code = static_cast<int>(*code);
   }
   return read;
 }
 
-std::optional<Extras> read_extras(std::string_view text) {
+std::optional<Extras> parse_extras(std::string_view text) {
   Extras extras;
   while (!text.empty()) {
     const auto part = text.substr(0, text.find(';'));
@@ -65,16 +65,16 @@
     const auto colon = part.find(':');
     if (colon == std::string_view::npos) return std::nullopt;
     const auto name = part.substr(0, colon);
-    const auto value = settings::number_of(part.substr(colon + 1));
+    const auto value = settings::parse_number(part.substr(colon + 1));
     if (!value) return std::nullopt;
     if (name == "dest") {
       if (*value < 0 || *value > 1e9 || *value != std::floor(*value)) return std::nullopt;
-      extras.dest = static_cast<std::uint32_t>(*value);
+      extras.destination_pool = static_cast<std::uint32_t>(*value);
     } else if (name == "width") {
       if (*value <= 0 || *value > 1e6) return std::nullopt;
       extras.width = *value;
     } else if (name == "again") {
-      extras.again = *value != 0;
+      extras.was_aborted = *value != 0;
     }
   }
   return extras;
@@ -82,11 +82,11 @@
 
 namespace {
 
-std::string line_of(std::string_view type, std::string_view sid) {
+std::string start_line(std::string_view type, std::string_view sid) {
   std::string line = "{\"msg\":\"";
   line += type;
   line += "\",\"sid\":";
-  settings::append_quoted(line, sid);
+  settings::append_json_string(line, sid);
   line += ",\"attrs\":{";
   return line;
 }
@@ -94,15 +94,15 @@
 }  // namespace
 
 std::string ready_line(std::string_view sid, std::string_view description) {
-  auto line = line_of("ready", sid);
+  auto line = start_line("ready", sid);
   line += "},\"text\":";
-  settings::append_quoted(line, description);
+  settings::append_json_string(line, description);
   line += "}\n";
   return line;
 }
 
 std::string close_line(std::string_view sid, core::Cause cause, std::optional<Duration> wait) {
-  auto line = line_of("close", sid);
+  auto line = start_line("close", sid);
   if (wait) {
     line += "\"wait\":\"" +
             std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(*wait).count()) + "\"";
@@ -112,11 +112,11 @@
 }
 
 std::string closed_line(std::string_view sid) {
-  return line_of("closed", sid) + "}}\n";
+  return start_line("closed", sid) + "}}\n";
 }
 
-std::string probed_line(std::string_view sid, bool passed) {
-  return line_of("probed", sid) + "},\"code\":" + (passed ? "1" : "0") + "}\n";
+std::string health_check_answer_line(std::string_view sid, bool passed) {
+  return start_line("probed", sid) + "},\"code\":" + (passed ? "1" : "0") + "}\n";
 }
 
 }  // namespace amberknot::jsonl
